--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -140,7 +140,7 @@
     let read = Limited::new(body, limits.body_max).collect();
     let read = tokio::time::timeout(limits.send_time.duration(), read)
         .await
-        .map_err(|_| Reject::Slow)?;
+        .map_err(|_| Reject::RequestTimeout)?;
     match read {
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(Reject::TooLarge),
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -202,7 +202,7 @@
                 self.tell();
                 let (model, version, age) = (n.model, n.version, n.age);
                 emit!(
-                    log_event::NAMED,
+                    log_event::VERSION,
                     "model={model} version={version} age={age} source=entry"
                 );
             }
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -24,7 +24,7 @@
 
 impl Directory {
     /// Answers a caller of a zone; `None` if no entry is ready.
-    pub fn answer(members: &Members, zone: &str, longest: Millis, now: Millis) -> Option<Self> {
+    pub fn for_caller(members: &Members, zone: &str, longest: Millis, now: Millis) -> Option<Self> {
         let addresses = members.addresses(zone, ADDRESSES_MAX, now);
         if addresses.is_empty() {
             return None;
--- a/src/gateway/judge.rs
+++ b/src/gateway/evaluate.rs
@@ -66,7 +66,7 @@
 }
 
 /// Decides what the response of an attempt is worth.
-pub(super) async fn judge(
+pub(super) async fn evaluate(
     ctx: &Rc<Context>,
     job: &Job,
     attempts: &mut Attempts,
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -23,22 +23,22 @@
 /// Takes what a topic says.
 pub trait Follower {
     /// Takes a record.
-    fn take(&self, record: Record);
+    fn apply(&self, record: Record);
 
     /// Takes all records of the topic; keys that are missing were removed.
     fn replace(&self, records: Vec<Record>);
 
     /// Notes that the store answers again after an outage; called before the records are taken.
-    fn regained(&self);
+    fn store_recovered(&self);
 
     /// Notes that all records of a read were taken.
-    fn done(&self) {}
+    fn batch_applied(&self) {}
 
     /// Notes that the store answered.
-    fn answered(&self) {}
+    fn read_succeeded(&self) {}
 
     /// Returns whether the topic is to be read; while it is not, another process tells what it says.
-    fn is_wanted(&self) -> bool {
+    fn should_read(&self) -> bool {
         true
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Returns when a waiting read should be given up and made again, because there is news of which it says nothing.
-    fn interrupted(&self) -> impl Future<Output = ()> {
+    fn read_interrupted(&self) -> impl Future<Output = ()> {
         std::future::pending()
     }
 }
@@ -69,7 +69,7 @@
         failing: false,
     };
     loop {
-        if !follower.is_wanted() {
+        if !follower.should_read() {
             state.rest(clock.now());
             tokio::time::sleep(REST.duration()).await;
             continue;
@@ -82,7 +82,7 @@
                 let read = store.read(topic, from, wait);
                 tokio::select! {
                     result = read => result.map(|r| (r, false)),
-                    () = follower.interrupted() => continue,
+                    () = follower.read_interrupted() => continue,
                 }
             }
         };
@@ -98,10 +98,10 @@
                     follower.replace(records.records);
                 } else {
                     for record in records.records {
-                        follower.take(record);
+                        follower.apply(record);
                     }
                 }
-                follower.done();
+                follower.batch_applied();
                 tokio::time::sleep(follower.pause().duration()).await;
             }
             Err(StoreError::Trimmed) => {
@@ -152,12 +152,12 @@
                 "topic={topic:?} outcome=regained away={}",
                 away.0
             );
-            follower.regained();
+            follower.store_recovered();
         }
         self.lost = false;
         self.failing = false;
         self.answered = now;
-        follower.answered();
+        follower.read_succeeded();
     }
 
     fn fail(&mut self, topic: Topic, now: Millis, error: &StoreError) {
--- a/src/gateway/followers.rs
+++ b/src/gateway/followers.rs
@@ -9,9 +9,9 @@
     context::Context,
     fleet::{Change, EndpointId},
     follow::Follower,
-    intents::{Decode, IntentSink},
     log_event,
     members::Beat,
+    operator_records::{Decode, OperatorSink},
     record::{Record, WeightVersion},
 };
 use crate::{
@@ -42,7 +42,7 @@
 }
 
 /// Takes the operator's intents in an entry.
-impl IntentSink for Rc<Context> {
+impl OperatorSink for Rc<Context> {
     fn catalog(&self, catalog: Catalog, raw: Bytes) {
         apply_catalog(self, catalog, raw, "store");
     }
@@ -50,7 +50,7 @@
     fn weights(&self, model: Rc<str>, version: WeightVersion, found: bool) {
         let newer = self.name_version(model.clone(), version, found);
         emit!(
-            log_event::NAMED,
+            log_event::VERSION,
             "model={model} version={version} newer={newer} found={found}"
         );
     }
@@ -59,11 +59,11 @@
         emit!(log_event::RECORD, "key={key} reason=\"{reason}\"");
     }
 
-    fn is_wanted(&self) -> bool {
+    fn should_read(&self) -> bool {
         self.reads_catalog()
     }
 
-    async fn interrupted(&self) {
+    async fn read_interrupted(&self) {
         self.news.notified().await;
     }
 }
@@ -72,7 +72,7 @@
 pub(super) struct Endpoints<D>(pub(super) Rc<Context>, pub(super) PhantomData<D>);
 
 impl<D: Decode> Endpoints<D> {
-    fn apply(&self, record: &Record) -> Option<EndpointId> {
+    fn apply_record(&self, record: &Record) -> Option<EndpointId> {
         let id = EndpointId(String::from_utf8_lossy(&record.key).into());
         let decoded = match record.value.as_ref().map(|v| D::endpoint(v)) {
             None => None,
@@ -118,18 +118,21 @@
 }
 
 impl<D: Decode> Follower for Endpoints<D> {
-    fn take(&self, record: Record) {
-        self.apply(&record);
+    fn apply(&self, record: Record) {
+        self.apply_record(&record);
     }
 
-    fn done(&self) {
+    fn batch_applied(&self) {
         if self.0.fleet_changed.get() {
             self.0.tell();
         }
     }
 
     fn replace(&self, records: Vec<Record>) {
-        let present: HashSet<_> = records.iter().filter_map(|r| self.apply(r)).collect();
+        let present: HashSet<_> = records
+            .iter()
+            .filter_map(|r| self.apply_record(r))
+            .collect();
         let missing = self.0.fleet.borrow_mut().retain(&present, self.0.now());
         for id in missing {
             let gone = self.0.fleet.borrow().get(&id).is_none();
@@ -152,15 +155,15 @@
         }
     }
 
-    fn answered(&self) {
+    fn read_succeeded(&self) {
         self.0.read_due.set(self.0.now() + self.pause());
     }
 
-    fn is_wanted(&self) -> bool {
+    fn should_read(&self) -> bool {
         self.0.reads_store()
     }
 
-    fn regained(&self) {
+    fn store_recovered(&self) {
         self.0.fleet.borrow_mut().regained(self.0.now());
         self.0.news.notify_waiters();
     }
@@ -174,7 +177,7 @@
 }
 
 impl Follower for Entries {
-    fn take(&self, record: Record) {
+    fn apply(&self, record: Record) {
         let Some(value) = &record.value else {
             return;
         };
@@ -186,17 +189,17 @@
 
     fn replace(&self, records: Vec<Record>) {
         for record in records {
-            self.take(record);
+            self.apply(record);
         }
     }
 
-    fn answered(&self) {
+    fn read_succeeded(&self) {
         // Entries that start together announce themselves while this one reads for the first time.
         self.read
             .set(self.ctx.now() > self.ctx.started + ENTRIES_PAUSE);
     }
 
-    fn is_wanted(&self) -> bool {
+    fn should_read(&self) -> bool {
         !self.read.get() || self.ctx.reads_store()
     }
 
@@ -204,5 +207,5 @@
         ENTRIES_PAUSE
     }
 
-    fn regained(&self) {}
+    fn store_recovered(&self) {}
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -12,9 +12,9 @@
     catalog::Repeat,
     choose::choose,
     context::{Context, InFlight},
+    evaluate::evaluate,
     events::EventId,
     fleet::EndpointId,
-    judge::judge,
     log_event,
     record::WeightVersion,
     reply::Reject,
@@ -265,7 +265,7 @@
             };
         }
     };
-    judge(ctx, job, attempts, target, res).await
+    evaluate(ctx, job, attempts, target, res).await
 }
 
 /// Decides whether a further attempt follows one that brought nothing, and takes it from the budget.
@@ -327,7 +327,7 @@
         return match spare {
             Some(res) => Ok(Attempt::Failed(res)),
             None if ran => Err(Reject::Lost),
-            None => Err(Reject::TurnedAway(crate::base::jitter(TURNED_AWAY))),
+            None => Err(Reject::Refused(crate::base::jitter(TURNED_AWAY))),
         };
     }
 }
--- a/src/gateway/log_event.rs
+++ b/src/gateway/log_event.rs
@@ -14,7 +14,7 @@
     CATALOG = 453, "gateway-catalog", Info,
         "a configuration is in force", "none";
     /// The operator named a version of weights.
-    NAMED = 454, "gateway-version", Info,
+    VERSION = 454, "gateway-version", Info,
         "a version of weights was named", "none";
     /// An endpoint came, changed or left.
     ENDPOINT = 455, "gateway-endpoint", Info,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -11,6 +11,7 @@
 mod choose;
 mod context;
 mod directory;
+mod evaluate;
 mod events;
 mod fleet;
 mod follow;
@@ -18,12 +19,11 @@
 mod forward;
 mod headers;
 mod homes;
-mod intents;
-mod judge;
 mod log_event;
 mod members;
 mod metrics;
 mod named;
+mod operator_records;
 mod packed;
 mod peers;
 mod reading;
@@ -51,9 +51,9 @@
 pub use follow::{follow, Follower};
 pub use headers::Headers;
 pub use homes::{homes, Place};
-pub use intents::{Decode, IntentSink, Intents};
 pub use members::{Beat, Datagram, EndpointHash, Member, Members, Message, NamedAge, Status};
 pub use named::Named;
+pub use operator_records::{Decode, OperatorFollower, OperatorSink};
 pub use packed::{pack, unpack};
 pub use record::{
     EndpointRecord, Intent, Record, RecordStore, Records, Revision, StoreError, Topic,
--- a/src/gateway/intents.rs
+++ b/src/gateway/operator_records.rs
@@ -18,7 +18,7 @@
     /// # Errors
     ///
     /// Returns why the value cannot be decoded.
-    fn intent(key: &[u8], value: &[u8]) -> Result<Option<Intent>, String>;
+    fn operator_record(key: &[u8], value: &[u8]) -> Result<Option<Intent>, String>;
 
     /// Decodes the value of a configuration.
     ///
@@ -36,7 +36,7 @@
 }
 
 /// Takes what the operator's records say.
-pub trait IntentSink {
+pub trait OperatorSink {
     /// Takes a configuration, decoded and encoded.
     fn catalog(&self, catalog: Catalog, raw: Bytes);
 
@@ -46,54 +46,54 @@
     /// Notes a record that cannot be decoded.
     fn malformed(&self, key: &str, reason: &str);
 
-    /// See [`Follower::is_wanted`].
-    fn is_wanted(&self) -> bool {
+    /// See [`Follower::should_read`].
+    fn should_read(&self) -> bool {
         true
     }
 
-    /// See [`Follower::interrupted`].
-    fn interrupted(&self) -> impl Future<Output = ()> {
+    /// See [`Follower::read_interrupted`].
+    fn read_interrupted(&self) -> impl Future<Output = ()> {
         std::future::pending()
     }
 }
 
 /// Follows the operator's records.
 #[derive(Debug)]
-pub struct Intents<D, T> {
+pub struct OperatorFollower<D, T> {
     sink: T,
     /// Whether the records were read once; what the first read brings was written before this process started.
     read: Cell<bool>,
     /// Whether even the first read waits until the sink wants it.
-    told: bool,
+    on_demand: bool,
     _decode: PhantomData<D>,
 }
 
-impl<D, T> Intents<D, T> {
+impl<D, T> OperatorFollower<D, T> {
     /// Creates a follower that passes the intents on.
     pub fn new(sink: T) -> Self {
         Self {
             sink,
             read: Cell::new(false),
-            told: false,
+            on_demand: false,
             _decode: PhantomData,
         }
     }
 
     /// Creates a follower for a process that others tell what the records say: it reads only while the sink wants it.
-    pub fn told(sink: T) -> Self {
+    pub fn on_demand(sink: T) -> Self {
         Self {
-            told: true,
+            on_demand: true,
             ..Self::new(sink)
         }
     }
 }
 
-impl<D: Decode, T: IntentSink> Follower for Intents<D, T> {
-    fn take(&self, record: Record) {
+impl<D: Decode, T: OperatorSink> Follower for OperatorFollower<D, T> {
+    fn apply(&self, record: Record) {
         let Some(value) = record.value else {
             return;
         };
-        match D::intent(&record.key, &value) {
+        match D::operator_record(&record.key, &value) {
             Ok(Some(Intent::Catalog(catalog))) => self.sink.catalog(*catalog, value),
             Ok(Some(Intent::Weights(model, version))) => {
                 self.sink.weights(model, version, !self.read.get());
@@ -107,18 +107,18 @@
 
     fn replace(&self, records: Vec<Record>) {
         for record in records {
-            self.take(record);
+            self.apply(record);
         }
         self.read.set(true);
     }
 
-    fn regained(&self) {}
+    fn store_recovered(&self) {}
 
-    fn is_wanted(&self) -> bool {
-        (!self.told && !self.read.get()) || self.sink.is_wanted()
+    fn should_read(&self) -> bool {
+        (!self.on_demand && !self.read.get()) || self.sink.should_read()
     }
 
-    async fn interrupted(&self) {
-        self.sink.interrupted().await;
+    async fn read_interrupted(&self) {
+        self.sink.read_interrupted().await;
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -9,9 +9,9 @@
     context::Context,
     fleet::{Change, EndpointNews, FleetDigest, FleetNews},
     followers::{apply_catalog, endpoint_changed},
-    intents::Decode,
     log_event,
     members::{Datagram, EndpointHash, Message, BEAT},
+    operator_records::Decode,
     packed::unpack,
     serve,
 };
@@ -189,7 +189,7 @@
             continue;
         }
         let count = before.map_or_else(|| "-".to_owned(), |m| m.count.to_string());
-        let path = format!("{}{boot}/{count}", serve::FLEET_PATH);
+        let path = format!("{}{boot}/{count}", serve::TABLE_PATH);
         let data = ask(&ctx, peer, &path).await;
         let news = data.and_then(|data| postcard::from_bytes::<FleetNews>(&data).ok());
         let Some(news) = news else {
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -33,7 +33,7 @@
     NoRoute,
     /// The body was not sent in time; the request was not run.
     #[error("the request did not arrive in time")]
-    Slow,
+    RequestTimeout,
     /// The body is too large.
     #[error("the request body is too large")]
     TooLarge,
@@ -48,7 +48,7 @@
     Overloaded(Millis),
     /// The endpoints that were asked turned the request away; it was not run.
     #[error("not run, the endpoints turned it away; retry after {0}")]
-    TurnedAway(Millis),
+    Refused(Millis),
     /// The endpoint was lost; the request may have run.
     #[error("the response of the endpoint was lost; the request may have run")]
     Lost,
@@ -64,12 +64,11 @@
             Self::Malformed => StatusCode::BAD_REQUEST,
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
+            Self::RequestTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Starting(_)
-            | Self::Unavailable(_)
-            | Self::Overloaded(_)
-            | Self::TurnedAway(_) => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Starting(_) | Self::Unavailable(_) | Self::Overloaded(_) | Self::Refused(_) => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
             Self::Lost => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
@@ -81,12 +80,12 @@
             Self::Malformed => "malformed",
             Self::Unauthorized => "unauthorized",
             Self::NoRoute => "no-route",
-            Self::Slow => "slow",
+            Self::RequestTimeout => "slow",
             Self::TooLarge => "too-large",
             Self::Starting(_) => "starting",
             Self::Unavailable(_) => "no-endpoint",
             Self::Overloaded(_) => "overloaded",
-            Self::TurnedAway(_) => "turned-away",
+            Self::Refused(_) => "turned-away",
             Self::Lost => "lost",
             Self::TimedOut => "timed-out",
         }
@@ -95,10 +94,9 @@
     /// Returns the time after which a caller should return whose request was not run.
     fn retry(self) -> Option<Millis> {
         match self {
-            Self::Starting(t)
-            | Self::Unavailable(t)
-            | Self::Overloaded(t)
-            | Self::TurnedAway(t) => Some(t),
+            Self::Starting(t) | Self::Unavailable(t) | Self::Overloaded(t) | Self::Refused(t) => {
+                Some(t)
+            }
             _ => None,
         }
     }
@@ -113,7 +111,7 @@
                 res.headers_mut().insert(RETRY_AFTER, value);
             }
         }
-        if matches!(self, Self::Slow | Self::TooLarge) {
+        if matches!(self, Self::RequestTimeout | Self::TooLarge) {
             let close = HeaderValue::from_static("close");
             res.headers_mut().insert(CONNECTION, close);
         }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -16,10 +16,10 @@
     fleet::Change,
     follow::follow,
     followers::{endpoint_changed, Endpoints, Entries},
-    intents::{Decode, Intents},
     log_event,
     members::{Beat, Members, Status},
     metrics::GatewayMetrics,
+    operator_records::{Decode, OperatorFollower},
     peers::{beat, follow_peers, hear, mirror_fleet, send_beat},
     record::{Record, RecordStore, Topic},
     serve, GatewaySettings, Headers,
@@ -83,7 +83,7 @@
     );
     let (closing, closed) = watch::channel(false);
     let callers = serve_all(&ctx, &closed)?;
-    let intents = Rc::new(Intents::<D, _>::new(ctx.clone()));
+    let intents = Rc::new(OperatorFollower::<D, _>::new(ctx.clone()));
     let endpoints = Rc::new(Endpoints::<D>(ctx.clone(), PhantomData));
     let entries = Rc::new(Entries {
         ctx: ctx.clone(),
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -16,8 +16,8 @@
     assignment::{self, ASSIGNMENT_PATH},
     context::{Context, Running},
     directory::Directory,
+    evaluate::response_headers,
     forward::{forward, Attempt, Attempts},
-    judge::response_headers,
     log_event,
     metrics::{ByService, Ended},
     reply::Reject,
@@ -30,7 +30,7 @@
 
 /// Path at which entries that read the store pass on changes of their table of endpoints; followed by the start of the
 /// process and the count of changes that the other entry has.
-pub(super) const FLEET_PATH: &str = "/fleet/";
+pub(super) const TABLE_PATH: &str = "/fleet/";
 
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
@@ -158,7 +158,7 @@
     let answer = match path {
         CATALOG_PATH => ctx.packed_catalog(),
         _ => match (
-            path.strip_prefix(FLEET_PATH),
+            path.strip_prefix(TABLE_PATH),
             path.strip_prefix(ASSIGNMENT_PATH),
         ) {
             (Some(since), _) => encoded_fleet(ctx, since),
@@ -215,7 +215,7 @@
         .find_map(|pair| pair.strip_prefix("zone="))
         .unwrap_or_default();
     let longest = ctx.bounds.get().directory_ttl;
-    let answer = Directory::answer(&ctx.members.borrow(), zone, longest, ctx.now());
+    let answer = Directory::for_caller(&ctx.members.borrow(), zone, longest, ctx.now());
     let body = answer.and_then(|a| serde_json::to_vec(&a).ok());
     let Some(body) = body else {
         return plain(StatusCode::SERVICE_UNAVAILABLE);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -14,9 +14,9 @@
     accept::Job,
     catalog::Repeat,
     context::{Context, Running},
+    evaluate::keep,
     events::Events,
     forward::{attempt, may_repeat, Attempt, Attempts, Begun, Target},
-    judge::keep,
     log_event, metrics,
     view::Outcome,
 };
--- a/src/staging/run.rs
+++ b/src/staging/run.rs
@@ -20,7 +20,9 @@
 use crate::{
     base::{Millis, ProcessName, Rate, Region, Service, Size, SystemClock, Zone},
     emit,
-    gateway::{follow, Catalog, Decode, IntentSink, Intents, RecordStore, Topic, WeightVersion},
+    gateway::{
+        follow, Catalog, Decode, OperatorFollower, OperatorSink, RecordStore, Topic, WeightVersion,
+    },
     http::{listen, ServeOptions},
     net::Pacer,
 };
@@ -111,7 +113,7 @@
         store,
         Topic::Operator,
         WAIT,
-        Rc::new(Intents::<D, _>::told(agent.clone())),
+        Rc::new(OperatorFollower::<D, _>::on_demand(agent.clone())),
     ));
     spawn_local(agent.clone().watch_endpoint());
     let socket = UdpSocket::bind(addr)
@@ -142,7 +144,7 @@
 }
 
 /// Takes the operator's intents in an agent.
-impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> IntentSink for Rc<Agent<S, D, H, O>> {
+impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> OperatorSink for Rc<Agent<S, D, H, O>> {
     fn catalog(&self, catalog: Catalog, _: Bytes) {
         self.set_catalog(&catalog);
     }
@@ -155,7 +157,7 @@
         emit!(log_event::RECORD, "key={key} reason=\"{reason}\"");
     }
 
-    fn is_wanted(&self) -> bool {
+    fn should_read(&self) -> bool {
         self.is_forgotten()
     }
 }
--- a/tests/gateway_follow.rs
+++ b/tests/gateway_follow.rs
@@ -63,7 +63,7 @@
 }
 
 impl Follower for Heard {
-    fn take(&self, record: Record) {
+    fn apply(&self, record: Record) {
         self.push("take", &[record]);
     }
 
@@ -71,7 +71,7 @@
         self.push("replace", &records);
     }
 
-    fn regained(&self) {
+    fn store_recovered(&self) {
         self.push("regained", &[]);
     }
 
--- a/tests/gateway_members.rs
+++ b/tests/gateway_members.rs
@@ -37,7 +37,7 @@
 }
 
 fn answer(members: &Members, zone: &str, now: Millis) -> Vec<SocketAddr> {
-    let answer = Directory::answer(members, zone, Millis(5000), now);
+    let answer = Directory::for_caller(members, zone, Millis(5000), now);
     let mut out = answer.map(|a| a.addresses).unwrap_or_default();
     out.sort_unstable();
     out
--- a/tests/gateway_support/mod.rs
+++ b/tests/gateway_support/mod.rs
@@ -75,7 +75,7 @@
 pub struct TestDecode;
 
 impl Decode for TestDecode {
-    fn intent(key: &[u8], value: &[u8]) -> Result<Option<Intent>, String> {
+    fn operator_record(key: &[u8], value: &[u8]) -> Result<Option<Intent>, String> {
         if key == b"config" {
             let catalog = Self::catalog(value)?;
             return Ok(Some(Intent::Catalog(Box::new(catalog))));
