--- a/examples/lease_and_claim.rs
+++ b/examples/lease_and_claim.rs
@@ -9,7 +9,7 @@
 use sesamewing::{
     base::{Attempt, Clock, Digest, Instance, ManualClock, Millis, Offset, RequestId},
     decide::{
-        claim::{Action, AppendEnd, ClaimRunner, Rules, RunEnd, Submit, Ticket},
+        claim::{Action, AppendResult, ClaimRunner, RunResult, Submission, Ticket, Timing},
         lease::{LeaseHolder, LeaseStep},
     },
     kernel::{Body, Entry, Kernel, Record},
@@ -81,7 +81,7 @@
 
 impl Worker {
     fn new(name: &str, instance: u64) -> eyre::Result<Self> {
-        let rules = Rules {
+        let rules = Timing {
             linger: Millis(0),
             readback: Millis(2000),
         };
@@ -100,22 +100,23 @@
             match action {
                 Action::Append(record) => {
                     log.append(log_time(), &record)?;
-                    self.runner.appended(now, record.id, AppendEnd::Appended);
+                    self.runner
+                        .complete_append(now, record.id, AppendResult::Appended);
                 }
                 Action::Run { id, payload, .. } => {
                     self.runs += 1;
                     let (media, body) = ("text/plain".to_owned(), payload);
-                    self.runner.finished(
+                    self.runner.complete_run(
                         now,
                         id,
-                        RunEnd::Answered {
+                        RunResult::Responded {
                             status: 200,
                             media,
                             body,
                         },
                     );
                 }
-                Action::Answer(ticket, verdict) => println!("caller {}: {verdict:?}", ticket.0),
+                Action::Reply(ticket, verdict) => println!("caller {}: {verdict:?}", ticket.0),
                 Action::Settled(..) => {}
             }
         }
@@ -139,7 +140,7 @@
     let order = Bytes::from_static(b"one crew, please");
     let id = RequestId::now();
     for (i, worker) in workers.iter_mut().enumerate() {
-        let submit = Submit {
+        let submit = Submission {
             id,
             digest: Digest::of(&order),
             attempt: Attempt(1),
--- a/src/agent/claims/driver.rs
+++ b/src/agent/claims/driver.rs
@@ -17,7 +17,7 @@
     base::{
         Clock, HashMap, Instance, Millis, Offset, ProcessName, RecordId, Region, RequestId, Service,
     },
-    decide::claim::{Action, AppendEnd, ClaimRunner, Rules, RunEnd, Ticket, Verdict},
+    decide::claim::{Action, AppendResult, ClaimRunner, RunResult, Ticket, Timing, Verdict},
     emit,
     endpoint::Endpoint,
     feed::Replica,
@@ -39,8 +39,8 @@
     Page(Page),
     Unreachable(String),
     Blocked(String),
-    Appended(RecordId, AppendEnd),
-    Finished(RequestId, RunEnd),
+    Appended(RecordId, AppendResult),
+    Finished(RequestId, RunResult),
 }
 
 /// Owns the claim runner and the tasks around it.
@@ -131,7 +131,7 @@
         loop {
             let now = self.clock.now();
             self.runner
-                .set_rules(rules(&self.replica, &self.region, &self.service));
+                .set_timing(rules(&self.replica, &self.region, &self.service));
             self.update_window(now);
             for action in self.runner.poll(now) {
                 self.perform(action);
@@ -179,12 +179,12 @@
                 self.runner.set_reachable(false);
             }
             Event::Blocked(reason) => self.block(&reason),
-            Event::Appended(record, end) => self.runner.appended(now, record, end),
+            Event::Appended(record, end) => self.runner.complete_append(now, record, end),
             Event::Finished(id, end) => {
-                if end == RunEnd::Unknown {
+                if end == RunResult::Unknown {
                     emit!(CLAIM_UNKNOWN, "request {id}");
                 }
-                self.runner.finished(now, id, end);
+                self.runner.complete_run(now, id, end);
             }
         }
     }
@@ -282,7 +282,7 @@
                     let _ = events.send(Event::Finished(id, end)).await;
                 });
             }
-            Action::Answer(ticket, verdict) => {
+            Action::Reply(ticket, verdict) => {
                 if let Some(reply) = self.verdicts.remove(&ticket) {
                     let _ = reply.send(verdict);
                 }
@@ -296,21 +296,21 @@
     }
 }
 
-async fn append<L: Log>(log: &L, record: &Record) -> AppendEnd {
+async fn append<L: Log>(log: &L, record: &Record) -> AppendResult {
     let Ok(data) = record.encode() else {
-        return AppendEnd::Refused;
+        return AppendResult::Refused;
     };
     match log.append(Stream::Claims, data).await {
-        Ok(_) => AppendEnd::Appended,
-        Err(PlatformError::Refused(_) | PlatformError::Missing(_)) => AppendEnd::Refused,
-        Err(PlatformError::Unknown(_) | PlatformError::Malformed(_)) => AppendEnd::Unknown,
+        Ok(_) => AppendResult::Appended,
+        Err(PlatformError::Refused(_) | PlatformError::Missing(_)) => AppendResult::Refused,
+        Err(PlatformError::Unknown(_) | PlatformError::Malformed(_)) => AppendResult::Unknown,
     }
 }
 
-fn rules(replica: &Replica, region: &Region, service: &Service) -> Rules {
+fn rules(replica: &Replica, region: &Region, service: &Service) -> Timing {
     let settings = replica.settings();
     let config = settings.service(region, service).map(|s| &s.claim);
-    let of = |c: &ClaimConfig| Rules {
+    let of = |c: &ClaimConfig| Timing {
         linger: c.linger,
         readback: c.readback,
     };
--- a/src/agent/claims/mod.rs
+++ b/src/agent/claims/mod.rs
@@ -20,7 +20,7 @@
 };
 use crate::{
     base::{Attempt, Digest, Millis, RequestId},
-    decide::claim::{Submit, Verdict},
+    decide::claim::{Submission, Verdict},
     wire::{NotRun, Reply, RunOutcome, RunRequest, SettleReply},
 };
 
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) enum Command {
     /// Runs a request at most once.
-    Submit(Box<Submit<RunRequest>>, oneshot::Sender<Verdict>),
+    Submit(Box<Submission<RunRequest>>, oneshot::Sender<Verdict>),
     /// Decides the fate of an attempt.
     Settle {
         id: RequestId,
@@ -71,7 +71,7 @@
         deadline: Millis,
         refusal: Option<NotRun>,
     ) -> Verdict {
-        let submit = Submit {
+        let submit = Submission {
             id: req.id,
             digest: digest(&req),
             attempt,
--- a/src/agent/claims/run.rs
+++ b/src/agent/claims/run.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     base::{Clock, Millis, RequestId},
-    decide::claim::RunEnd,
+    decide::claim::RunResult,
     endpoint::{Endpoint, EndpointError, Part, Run},
     wire::RunRequest,
 };
@@ -18,11 +18,11 @@
     clock: C,
     req: RunRequest,
     deadline: Millis,
-) -> RunEnd {
+) -> RunResult {
     match collect(&endpoint, &clock, &req, deadline).await {
         Ok(end) => end,
-        Err(e) if e.is_unsent() => RunEnd::NotSent,
-        Err(_) => RunEnd::Unknown,
+        Err(e) if e.is_unsent() => RunResult::NotSent,
+        Err(_) => RunResult::Unknown,
     }
 }
 
@@ -31,12 +31,12 @@
     clock: &C,
     req: &RunRequest,
     deadline: Millis,
-) -> Result<RunEnd, EndpointError> {
+) -> Result<RunResult, EndpointError> {
     let foreign = |id: Option<RequestId>| id.is_some_and(|id| id != req.id);
     let mut run = endpoint.run(req, deadline - clock.now()).await?;
     let head = run.head().clone();
     if foreign(head.id) {
-        return Ok(RunEnd::Unknown);
+        return Ok(RunResult::Unknown);
     }
     let mut body = BytesMut::new();
     loop {
@@ -47,10 +47,10 @@
                 body.extend_from_slice(&data);
             }
             Ok(Part::End { .. }) => break,
-            Ok(Part::Data { .. }) | Err(_) => return Ok(RunEnd::Unknown),
+            Ok(Part::Data { .. }) | Err(_) => return Ok(RunResult::Unknown),
         }
     }
-    Ok(RunEnd::Answered {
+    Ok(RunResult::Responded {
         status: head.status,
         media: head.media,
         body: body.freeze(),
--- a/src/decide/claim/mod.rs
+++ b/src/decide/claim/mod.rs
@@ -21,16 +21,16 @@
 };
 
 /// Largest number of requests in hand; further ones are refused.
-pub const WORKS_MAX: usize = 4096;
+pub const REQUESTS_MAX: usize = 4096;
 
 /// Largest number of callers that wait for one request.
 pub const WAITERS_MAX: usize = 16;
 
 /// Largest number of attempts that are voided before a claim of a later attempt.
-pub const PRIOR_MAX: u32 = 16;
+pub const PRIOR_VOIDS_MAX: u32 = 16;
 
 /// Time for which requests are refused after the log refused an append.
-pub const BLOCK_TIME: Millis = Millis(300);
+pub const APPEND_BACKOFF: Millis = Millis(300);
 
 /// Number of a waiting caller, unique in a run of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -38,7 +38,7 @@
 
 /// Times that the settings name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct Timing {
     /// Longest time that claims are gathered for one append.
     pub linger: Millis,
     /// Longest time from an append to its read-back.
@@ -47,7 +47,7 @@
 
 /// A non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Submit<P> {
+pub struct Submission<P> {
     /// Request id.
     pub id: RequestId,
     /// Hash of the request.
@@ -77,7 +77,7 @@
         deadline: Millis,
     },
     /// Answer a waiting caller.
-    Answer(Ticket, Verdict),
+    Reply(Ticket, Verdict),
     /// Answer a waiting settlement.
     Settled(Ticket, SettleReply),
 }
@@ -100,7 +100,7 @@
 
 /// How an append ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AppendEnd {
+pub enum AppendResult {
     /// The record is in the log.
     Appended,
     /// The record is not in the log and will not be.
@@ -111,9 +111,9 @@
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunResult {
     /// The endpoint answered.
-    Answered {
+    Responded {
         /// HTTP status.
         status: u16,
         /// Media type.
--- a/src/decide/claim/runner.rs
+++ b/src/decide/claim/runner.rs
@@ -5,8 +5,8 @@
     outbox::Outbox,
     resolve::{self, Own},
     work::{Phase, Settle, Work},
-    Action, AppendEnd, Rules, RunEnd, Submit, Ticket, Verdict, BLOCK_TIME, PRIOR_MAX, WAITERS_MAX,
-    WORKS_MAX,
+    Action, AppendResult, RunResult, Submission, Ticket, Timing, Verdict, APPEND_BACKOFF,
+    PRIOR_VOIDS_MAX, REQUESTS_MAX, WAITERS_MAX,
 };
 use crate::{
     base::{Attempt, Digest, HashMap, HashSet, Instance, Millis, ProcessName, RecordId, RequestId},
@@ -20,16 +20,16 @@
 /// Claims attempts, runs them once and records their outcomes; `P` is what is needed to run a request.
 #[derive(Debug)]
 pub struct ClaimRunner<P> {
-    pub(super) rules: Rules,
+    pub(super) rules: Timing,
     pub(super) own: Own,
     /// Instance of voids on behalf of others. It differs from the claiming instance, whose voids also undo its claims.
     pub(super) settler: Instance,
     pub(super) kernel: Kernel,
-    /// At most [`WORKS_MAX`].
+    /// At most [`REQUESTS_MAX`].
     pub(super) works: HashMap<RequestId, Work<P>>,
-    /// At most [`WORKS_MAX`].
+    /// At most [`REQUESTS_MAX`].
     pub(super) settles: Vec<Settle>,
-    /// Attempts that were claimed and given up, until their void is read back; at most [`WORKS_MAX`] and those in hand.
+    /// Attempts that were claimed and given up, until their void is read back; at most [`REQUESTS_MAX`] and those in hand.
     pub(super) given_up: HashSet<(RequestId, Attempt)>,
     pub(super) outbox: Outbox,
     pub(super) memory: Memory,
@@ -54,7 +54,7 @@
 
 impl<P> ClaimRunner<P> {
     /// Creates a runner that has read nothing yet; `kernel` is the state before the first retained record.
-    pub fn new(holder: ProcessName, instance: Instance, kernel: Kernel, rules: Rules) -> Self {
+    pub fn new(holder: ProcessName, instance: Instance, kernel: Kernel, rules: Timing) -> Self {
         Self {
             rules,
             own: Own { holder, instance },
@@ -78,7 +78,7 @@
     }
 
     /// Takes over changed settings.
-    pub fn set_rules(&mut self, rules: Rules) {
+    pub fn set_timing(&mut self, rules: Timing) {
         self.rules = rules;
     }
 
@@ -102,11 +102,11 @@
     }
 
     pub(super) fn answer(&mut self, ticket: Ticket, verdict: impl Into<Verdict>) {
-        self.out.push(Action::Answer(ticket, verdict.into()));
+        self.out.push(Action::Reply(ticket, verdict.into()));
     }
 
     /// Takes a request; its answer may be among the next actions.
-    pub fn submit(&mut self, now: Millis, ticket: Ticket, s: Submit<P>) {
+    pub fn submit(&mut self, now: Millis, ticket: Ticket, s: Submission<P>) {
         if let Some(work) = self.works.get_mut(&s.id) {
             let verdict = match &work.phase {
                 _ if work.digest != s.digest => not_run(NotRun::Digest),
@@ -139,14 +139,14 @@
         if self.is_blocked(now) {
             return self.answer(ticket, RunOutcome::NotRun(NotRun::Log));
         }
-        let full = self.pending() + self.given_up.len() >= WORKS_MAX;
+        let full = self.pending() + self.given_up.len() >= REQUESTS_MAX;
         if full || !self.void_prior(now, &s.id, s.attempt) {
             return self.answer(ticket, RunOutcome::NotRun(NotRun::Busy));
         }
         self.claim(now, ticket, s);
     }
 
-    fn claim(&mut self, now: Millis, ticket: Ticket, s: Submit<P>) {
+    fn claim(&mut self, now: Millis, ticket: Ticket, s: Submission<P>) {
         self.outbox.claim(
             now,
             Claim {
@@ -175,7 +175,7 @@
         let Some(Attempt(last)) = resolve::void_up_to(&self.kernel, id) else {
             return false;
         };
-        if attempt.0 == 0 || attempt.0 > last.saturating_add(PRIOR_MAX) {
+        if attempt.0 == 0 || attempt.0 > last.saturating_add(PRIOR_VOIDS_MAX) {
             return false;
         }
         for prior in last + 1..attempt.0 {
@@ -213,8 +213,8 @@
         let reply = match in_hand.or(known) {
             Some(reply) => reply,
             None => {
-                let full =
-                    self.settles.len() + self.outbox.backlog() >= WORKS_MAX || self.is_blocked(now);
+                let full = self.settles.len() + self.outbox.backlog() >= REQUESTS_MAX
+                    || self.is_blocked(now);
                 if full || !self.void_prior(now, &id, attempt) {
                     return self.out.push(Action::Settled(ticket, SettleReply::Unknown));
                 }
@@ -232,12 +232,12 @@
     }
 
     /// Takes the result of the append in flight.
-    pub fn appended(&mut self, now: Millis, id: RecordId, end: AppendEnd) {
+    pub fn complete_append(&mut self, now: Millis, id: RecordId, end: AppendResult) {
         let Some(flight) = self.outbox.land(id) else {
             return;
         };
         match (end, flight.record.body) {
-            (AppendEnd::Appended, _) => {}
+            (AppendResult::Appended, _) => {}
             (_, Body::Claims(claims)) => {
                 for c in &claims {
                     self.lost(now, c, id, end);
@@ -245,18 +245,18 @@
             }
             (_, body) => self.outbox.retry(Record { id, body }),
         }
-        if end != AppendEnd::Appended {
+        if end != AppendResult::Appended {
             self.block(now);
         }
     }
 
     /// Gives up a claim whose append failed, unless it was read back already.
-    fn lost(&mut self, now: Millis, c: &Claim, record: RecordId, end: AppendEnd) {
+    fn lost(&mut self, now: Millis, c: &Claim, record: RecordId, end: AppendResult) {
         let waits = |w: &Work<P>| matches!(w.phase, Phase::Sent(r, _) if r == record);
         if !self.works.get(&c.request).is_some_and(waits) {
             return;
         }
-        if end == AppendEnd::Refused {
+        if end == AppendResult::Refused {
             self.end(&c.request, RunOutcome::NotRun(NotRun::Log));
         } else {
             self.give_up(now, &c.request);
@@ -286,7 +286,7 @@
 
     /// Refuses what waits for an append; nothing of it is in the log.
     fn block(&mut self, now: Millis) {
-        self.blocked = now + BLOCK_TIME;
+        self.blocked = now + APPEND_BACKOFF;
         self.alarm_at(self.blocked);
         self.refuse_queued();
     }
@@ -419,7 +419,7 @@
     }
 
     /// Takes the end of a run.
-    pub fn finished(&mut self, now: Millis, id: RequestId, end: RunEnd) {
+    pub fn complete_run(&mut self, now: Millis, id: RequestId, end: RunResult) {
         let Some(work) = self.works.get_mut(&id) else {
             return;
         };
@@ -428,15 +428,15 @@
         }
         let attempt = work.attempt;
         match end {
-            RunEnd::Unknown => self.end(&id, RunOutcome::MayHaveRun),
-            RunEnd::NotSent => {
+            RunResult::Unknown => self.end(&id, RunOutcome::MayHaveRun),
+            RunResult::NotSent => {
                 let until = now + self.rules.readback;
                 work.phase = Phase::Voiding(until);
                 self.given_up.insert((id, attempt));
                 self.void(now, id, attempt, self.own.instance);
                 self.alarm_at(until);
             }
-            RunEnd::Answered {
+            RunResult::Responded {
                 status,
                 mut media,
                 body,
--- a/src/decide/limit/fair.rs
+++ b/src/decide/limit/fair.rs
@@ -9,7 +9,7 @@
 pub const QUEUE_MAX: usize = 1024;
 
 /// Status checks of a workspace that may be in progress beyond its share.
-pub const RESERVE: u32 = 8;
+pub const STATUS_RESERVE: u32 = 8;
 
 /// Virtual time of one request with weight 1.
 const STRIDE: u64 = 1 << 20;
@@ -38,7 +38,7 @@
 
 /// A request for admission.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// Workspace.
     pub workspace: &'a Workspace,
     /// Share of the workspace's limits at this entry.
@@ -88,7 +88,7 @@
 struct Space {
     share: Share,
     weight: u64,
-    inflight: u32,
+    in_flight: u32,
     reserve: u32,
     /// Tokens of the rate limit, in thousandths; at most one second's worth.
     tokens: u64,
@@ -107,7 +107,7 @@
 pub struct Limiter {
     /// Requests that may be in progress at once.
     window: u32,
-    inflight: u32,
+    in_flight: u32,
     virtual_time: u64,
     spaces: HashMap<Workspace, Space>,
     next: u64,
@@ -129,11 +129,11 @@
     }
 
     fn may_start(&self) -> bool {
-        self.inflight < self.share.concurrency && self.tokens >= 1000
+        self.in_flight < self.share.concurrency && self.tokens >= 1000
     }
 
     fn load(&self) -> u32 {
-        self.inflight + self.queue.len() as u32
+        self.in_flight + self.queue.len() as u32
     }
 }
 
@@ -145,13 +145,13 @@
     }
 
     /// Takes the waiting requests that passed since the last call.
-    pub fn admitted(&mut self) -> Vec<Ticket> {
+    pub fn take_admitted(&mut self) -> Vec<Ticket> {
         std::mem::take(&mut self.admitted)
     }
 
     /// Returns the number of requests in progress.
-    pub fn inflight(&self) -> u32 {
-        self.inflight
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
     /// Returns the number of requests that wait.
@@ -160,7 +160,7 @@
     }
 
     /// Decides on a request.
-    pub fn ask(&mut self, now: Millis, ask: &Ask<'_>) -> Verdict {
+    pub fn admit(&mut self, now: Millis, ask: &AdmissionRequest<'_>) -> Verdict {
         let first = !self.spaces.contains_key(ask.workspace);
         let space = self.spaces.entry(ask.workspace.clone()).or_default();
         space.share = ask.share;
@@ -187,7 +187,7 @@
             return Verdict::Admit(Class::Work);
         }
         let space = self.space(ask.workspace);
-        if ask.class == Class::Status && space.reserve < RESERVE {
+        if ask.class == Class::Status && space.reserve < STATUS_RESERVE {
             space.queue.pop_back();
             space.reserve += 1;
             return Verdict::Admit(Class::Status);
@@ -211,7 +211,7 @@
     }
 
     /// Returns why a request that joined the queue now would not pass in time, and when it would.
-    fn refusal(&self, now: Millis, ask: &Ask<'_>) -> (Option<Reason>, Millis) {
+    fn refusal(&self, now: Millis, ask: &AdmissionRequest<'_>) -> (Option<Reason>, Millis) {
         let Some(space) = self.spaces.get(ask.workspace) else {
             return (None, Millis::ZERO);
         };
@@ -228,8 +228,8 @@
             0 => RETRY_UNKNOWN,
             l => Millis(mean * place / u64::from(l)),
         };
-        let concurrency = over(space.share.concurrency, space.inflight, ahead + 1);
-        let saturated = over(self.window, self.inflight, self.place(ask.workspace));
+        let concurrency = over(space.share.concurrency, space.in_flight, ahead + 1);
+        let saturated = over(self.window, self.in_flight, self.place(ask.workspace));
         let (wait, reason) = [
             (rate, Reason::Rate),
             (concurrency, Reason::Concurrency),
@@ -271,7 +271,7 @@
 
     /// Admits waiting requests in fair order; called after events and while requests wait for tokens.
     pub fn dispatch(&mut self, now: Millis) {
-        while self.inflight < self.window {
+        while self.in_flight < self.window {
             let time = self.virtual_time;
             let next = self
                 .spaces
@@ -293,10 +293,10 @@
                 break;
             };
             space.tokens -= 1000;
-            space.inflight += 1;
+            space.in_flight += 1;
             space.finish = start + STRIDE / space.weight;
             self.virtual_time = start;
-            self.inflight += 1;
+            self.in_flight += 1;
             self.admitted.push(waiter.ticket);
         }
     }
@@ -310,11 +310,11 @@
     }
 
     /// Returns what keeps the requests of a workspace waiting.
-    pub fn blocked(&self, workspace: &Workspace) -> Reason {
+    pub fn blocking_reason(&self, workspace: &Workspace) -> Reason {
         match self.spaces.get(workspace) {
-            Some(s) if s.inflight >= s.share.concurrency => Reason::Concurrency,
+            Some(s) if s.in_flight >= s.share.concurrency => Reason::Concurrency,
             // With room in the service only the rate holds requests back, also while a token has just come.
-            Some(s) if s.tokens < 1000 || self.inflight < self.window => Reason::Rate,
+            Some(s) if s.tokens < 1000 || self.in_flight < self.window => Reason::Rate,
             _ => Reason::Saturated,
         }
     }
@@ -331,8 +331,8 @@
         match class {
             Class::Status => space.reserve = space.reserve.saturating_sub(1),
             Class::Work => {
-                space.inflight = space.inflight.saturating_sub(1);
-                self.inflight = self.inflight.saturating_sub(1);
+                space.in_flight = space.in_flight.saturating_sub(1);
+                self.in_flight = self.in_flight.saturating_sub(1);
                 if let Some(d) = duration {
                     self.measure(now, d.0);
                 }
@@ -358,7 +358,7 @@
     }
 
     /// Returns the demand of each workspace since the last call, `elapsed` ago.
-    pub fn demand(&mut self, elapsed: Millis) -> Vec<(Workspace, Share)> {
+    pub fn take_demand(&mut self, elapsed: Millis) -> Vec<(Workspace, Share)> {
         let mut out = Vec::new();
         for (name, s) in &mut self.spaces {
             let concurrency = s.peak.max(s.load());
--- a/src/decide/limit/mod.rs
+++ b/src/decide/limit/mod.rs
@@ -10,7 +10,7 @@
 //! next. A workspace that offers at least its share gets `weight / sum of weights` of the admissions.
 //!
 //! Status checks (repeatable requests of plain services) that would wait or be refused use a reserve of their own
-//! ([`RESERVE`] for each workspace), so that they pass while orders queue.
+//! ([`STATUS_RESERVE`] for each workspace), so that they pass while orders queue.
 //!
 //! # Limits over all entries of a region
 //!
@@ -27,4 +27,6 @@
 mod fair;
 pub mod share;
 
-pub use fair::{Ask, Class, Limiter, Reason, Ticket, Verdict, QUEUE_MAX, RESERVE};
+pub use fair::{
+    AdmissionRequest, Class, Limiter, Reason, Ticket, Verdict, QUEUE_MAX, STATUS_RESERVE,
+};
--- a/src/decide/limit/share.rs
+++ b/src/decide/limit/share.rs
@@ -20,13 +20,13 @@
 
 /// The share that an entry uses.
 #[derive(Clone, Debug, Default)]
-pub struct Holder {
+pub struct ShareHolder {
     grant: Option<Grant>,
 }
 
-impl Holder {
+impl ShareHolder {
     /// Takes over a grant.
-    pub fn granted(&mut self, share: Share, until: Millis) {
+    pub fn set_grant(&mut self, share: Share, until: Millis) {
         self.grant = Some(Grant { share, until });
     }
 
@@ -57,17 +57,17 @@
 ///
 /// The sum of valid grants never exceeds the limit that was in force when they were given.
 #[derive(Clone, Debug, Default)]
-pub struct Pool {
+pub struct SharePool {
     claims: HashMap<ProcessName, Claim>,
 }
 
-impl Pool {
+impl SharePool {
     /// Answers an entry that reports its demand.
     ///
     /// A share that others have to give up first becomes free with their own next report, or when their grant ends.
     /// What nobody wants is split over all `entries`, also those that have not reported yet: otherwise the first one
     /// would hold the whole limit, and the next ones would refuse requests until it reports again.
-    pub fn ask(
+    pub fn grant(
         &mut self,
         now: Millis,
         name: &ProcessName,
--- a/src/decide/member.rs
+++ b/src/decide/member.rs
@@ -108,18 +108,18 @@
 
 /// Which agents of a service an entry watches.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct WatchPolicy {
     /// Number of agents.
     pub subset: usize,
     /// Whether agents of other regions count.
-    pub across: bool,
+    pub cross_region: bool,
     /// Version that an agent must confirm.
     pub version: Option<VersionName>,
 }
 
 /// The entry's view of all agents.
 #[derive(Clone, Debug)]
-pub struct Members {
+pub struct Membership {
     name: ProcessName,
     region: Region,
     zone: Zone,
@@ -128,7 +128,7 @@
 
 impl Peer {
     /// Returns whether the agent may receive new requests.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.state == PeerState::Alive
             && self
                 .report
@@ -137,12 +137,12 @@
     }
 
     /// Returns whether its reports arrive; agents that are not watched count as heard.
-    pub fn is_heard(&self, now: Millis) -> bool {
+    pub fn is_reporting(&self, now: Millis) -> bool {
         !self.watched || now - self.heard < SUSPECT_AFTER
     }
 
     fn fits(&self, version: &Option<VersionName>) -> bool {
-        self.takes_work() && self.report.as_ref().is_some_and(|r| r.version == *version)
+        self.accepts_requests() && self.report.as_ref().is_some_and(|r| r.version == *version)
     }
 
     /// Returns whether the place of the agent goes to another one, if there is one.
@@ -178,7 +178,7 @@
     }
 }
 
-impl Members {
+impl Membership {
     /// Creates an empty view of an entry.
     pub fn new(name: ProcessName, region: Region, zone: Zone) -> Self {
         Self {
@@ -200,7 +200,7 @@
     }
 
     /// Takes over a host list.
-    pub fn listed(&mut self, now: Millis, hosts: &Hosts) {
+    pub fn apply_hosts(&mut self, now: Millis, hosts: &Hosts) {
         for p in self.peers.values_mut() {
             p.listed = false;
         }
@@ -257,7 +257,7 @@
     }
 
     /// Takes over a report; returns whether it changed what is known.
-    pub fn report(&mut self, now: Millis, report: AgentReport) -> bool {
+    pub fn apply_report(&mut self, now: Millis, report: AgentReport) -> bool {
         let Some(peer) = self.peers.get_mut(&report.name) else {
             return false;
         };
@@ -289,7 +289,7 @@
     }
 
     /// Notes that the stream of reports broke.
-    pub fn broken(&mut self, name: &ProcessName) {
+    pub fn mark_stream_broken(&mut self, name: &ProcessName) {
         if let Some(p) = self.peers.get_mut(name) {
             if p.state == PeerState::Alive {
                 p.state = PeerState::Suspect;
@@ -298,7 +298,7 @@
     }
 
     /// Notes that an agent refused a request because it leaves.
-    pub fn leaving(&mut self, name: &ProcessName) {
+    pub fn mark_leaving(&mut self, name: &ProcessName) {
         if let Some(p) = self.peers.get_mut(name) {
             p.state = PeerState::Leaving;
         }
@@ -308,10 +308,10 @@
     pub fn tick(
         &mut self,
         now: Millis,
-        wish: impl Fn(&Service) -> Option<Wish>,
+        wish: impl Fn(&Service) -> Option<WatchPolicy>,
     ) -> (Vec<Action>, bool) {
         let mut changed = false;
-        let mut services: BTreeMap<Service, (Wish, Vec<ProcessName>)> = BTreeMap::new();
+        let mut services: BTreeMap<Service, (WatchPolicy, Vec<ProcessName>)> = BTreeMap::new();
         for (name, peer) in &mut self.peers {
             let before = peer.state;
             peer.tick(now);
@@ -355,11 +355,11 @@
     }
 
     /// Chooses the subset of one service.
-    fn subset(&self, now: Millis, wish: &Wish, names: &[ProcessName]) -> Vec<ProcessName> {
+    fn subset(&self, now: Millis, wish: &WatchPolicy, names: &[ProcessName]) -> Vec<ProcessName> {
         let mut peers: Vec<&Peer> = names
             .iter()
             .map(|n| &self.peers[n])
-            .filter(|p| wish.across || p.distance != Distance::Remote)
+            .filter(|p| wish.cross_region || p.distance != Distance::Remote)
             .collect();
         peers.sort_by_key(|p| {
             let unfit = !p.fits(&wish.version);
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -10,7 +10,7 @@
 //! | deadline passed | stop | stop | stop |
 //! | earlier call in progress | stop | stop | stop |
 //!
-//! Each further attempt needs a token of the service's [`Budget`] and an attempt left; otherwise the request stops.
+//! Each further attempt needs a token of the service's [`RetryBudget`] and an attempt left; otherwise the request stops.
 
 use crate::{base::Percent, wire::NotRun};
 
@@ -18,25 +18,25 @@
 const TOKEN: u32 = 100;
 
 /// Tokens that a budget holds at most: a burst of failures after a quiet time stays this small.
-pub const BURST: u32 = 10;
+pub const BURST_TOKENS: u32 = 10;
 
 /// Bounds retries to a share of requests: each request adds a share of a token, each retry takes one.
 ///
 /// After `n` requests there were at most `n * share + burst` retries.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     parts: u32,
     /// Most parts that are held.
     limit: u32,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Self::with_burst(BURST)
+        Self::with_burst(BURST_TOKENS)
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates a budget that holds at most `burst` tokens, and begins with them.
     pub fn with_burst(burst: u32) -> Self {
         let limit = burst.saturating_mul(TOKEN);
@@ -47,12 +47,12 @@
     }
 
     /// Notes a request.
-    pub fn request(&mut self, share: Percent) {
+    pub fn record_request(&mut self, share: Percent) {
         self.parts = (self.parts + u32::from(share.0)).min(self.limit);
     }
 
     /// Takes a token; returns whether there was one.
-    pub fn take(&mut self, share: Percent) -> bool {
+    pub fn try_take(&mut self, share: Percent) -> bool {
         if share.0 == 0 || self.parts < TOKEN {
             return false;
         }
@@ -63,7 +63,7 @@
 
 /// Why an attempt brought no whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum AttemptFailure {
     /// Nothing was sent.
     Unsent,
     /// The agent guarantees that the attempt did not and will not run.
@@ -93,9 +93,9 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Run it on another agent; the caller has nothing yet.
-    Again {
+    Retry {
         /// Whether the attempt number increases, because the last one is void.
         advance: bool,
     },
@@ -108,27 +108,35 @@
 }
 
 /// Decides what follows a loss; takes a token if another attempt follows.
-pub fn next(progress: &Progress, loss: Loss, budget: &mut Budget, share: Percent) -> Next {
+pub fn decide(
+    progress: &Progress,
+    loss: AttemptFailure,
+    budget: &mut RetryBudget,
+    share: Percent,
+) -> RetryDecision {
     let next = match loss {
-        Loss::Deadline | Loss::InProgress => Next::Stop,
-        Loss::NotRun(NotRun::Digest | NotRun::Expired) => Next::Stop,
-        Loss::Lost | Loss::Corrupt if !progress.repeatable => Next::Settle,
-        Loss::Corrupt if progress.delivered > 0 => Next::Stop,
-        _ if progress.delivered > 0 && !progress.repeatable => Next::Stop,
-        _ if progress.delivered > 0 => Next::Resume,
-        Loss::NotRun(NotRun::Void) => Next::Again { advance: true },
-        Loss::Unsent | Loss::NotRun(_) | Loss::Lost | Loss::Corrupt => {
-            Next::Again { advance: false }
+        AttemptFailure::Deadline | AttemptFailure::InProgress => RetryDecision::Stop,
+        AttemptFailure::NotRun(NotRun::Digest | NotRun::Expired) => RetryDecision::Stop,
+        AttemptFailure::Lost | AttemptFailure::Corrupt if !progress.repeatable => {
+            RetryDecision::Settle
         }
+        AttemptFailure::Corrupt if progress.delivered > 0 => RetryDecision::Stop,
+        _ if progress.delivered > 0 && !progress.repeatable => RetryDecision::Stop,
+        _ if progress.delivered > 0 => RetryDecision::Resume,
+        AttemptFailure::NotRun(NotRun::Void) => RetryDecision::Retry { advance: true },
+        AttemptFailure::Unsent
+        | AttemptFailure::NotRun(_)
+        | AttemptFailure::Lost
+        | AttemptFailure::Corrupt => RetryDecision::Retry { advance: false },
     };
-    let further = matches!(next, Next::Again { .. } | Next::Resume);
+    let further = matches!(next, RetryDecision::Retry { .. } | RetryDecision::Resume);
     if further && !may_retry(progress, budget, share) {
-        return Next::Stop;
+        return RetryDecision::Stop;
     }
     next
 }
 
 /// Takes a token for a further attempt; returns whether one may follow.
-pub fn may_retry(progress: &Progress, budget: &mut Budget, share: Percent) -> bool {
-    progress.attempts < progress.allowed && budget.take(share)
+pub fn may_retry(progress: &Progress, budget: &mut RetryBudget, share: Percent) -> bool {
+    progress.attempts < progress.allowed && budget.try_take(share)
 }
--- a/src/decide/route/breaker.rs
+++ b/src/decide/route/breaker.rs
@@ -43,12 +43,12 @@
     }
 
     /// Notes a success.
-    pub fn success(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// Notes a failure.
-    pub fn failure(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         self.failures += 1;
         match self.open {
             Some((_, time)) if self.probing => {
@@ -64,7 +64,7 @@
     }
 
     /// Notes that the probe ended without a verdict.
-    pub fn release(&mut self) {
+    pub fn release_probe(&mut self) {
         self.probing = false;
     }
 }
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -1,7 +1,7 @@
 //! Which agent runs a request.
 //!
-//! A [`Table`] holds the agents of one service that take work and confirm a version. It is rebuilt when membership or
-//! settings change and read without locks; the counts of this entry's own requests live in a [`Slot`] for each agent,
+//! A [`RouteTable`] holds the agents of one service that take work and confirm a version. It is rebuilt when membership or
+//! settings change and read without locks; the counts of this entry's own requests live in a [`AgentView`] for each agent,
 //! which all tables share.
 //!
 //! Own zone first, then own region, then other regions: a farther agent is used only while no nearer one has room.
@@ -12,8 +12,8 @@
 mod table;
 
 pub use breaker::{Breaker, FAILURES_MAX, OPEN_MAX, OPEN_MIN};
-pub use policy::{policy, Chooser, PolicySpec, POLICIES};
-pub use table::{Guard, Query, Slot, Table, Target};
+pub use policy::{chooser, Chooser, PolicySpec, POLICIES};
+pub use table::{AgentView, InFlightGuard, RouteQuery, RouteTable, Target};
 
 /// Bytes of a prompt that make up its prefix at most.
 pub const PREFIX_BYTES: usize = 256;
--- a/src/decide/route/policy.rs
+++ b/src/decide/route/policy.rs
@@ -4,7 +4,7 @@
 
 use linkme::distributed_slice;
 
-use super::table::{Query, Target};
+use super::table::{RouteQuery, Target};
 use crate::settings::Policy;
 
 /// All policies.
@@ -12,7 +12,7 @@
 pub static POLICIES: [PolicySpec];
 
 /// Chooses among at least two agents; the last argument is [`Route::slack`](crate::settings::Route::slack).
-pub type Chooser = for<'t> fn(&[&'t Target], &Query<'_>, u32) -> Option<&'t Target>;
+pub type Chooser = for<'t> fn(&[&'t Target], &RouteQuery<'_>, u32) -> Option<&'t Target>;
 
 /// One policy.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 }
 
 /// Returns the function of a policy.
-pub fn policy(policy: Policy) -> Chooser {
+pub fn chooser(policy: Policy) -> Chooser {
     POLICIES
         .iter()
         .find(|p| p.policy == policy)
@@ -63,23 +63,23 @@
 }
 
 /// Any agent.
-fn random<'t>(pool: &[&'t Target], q: &Query<'_>, _: u32) -> Option<&'t Target> {
+fn random<'t>(pool: &[&'t Target], q: &RouteQuery<'_>, _: u32) -> Option<&'t Target> {
     pool.get(mix(q.random) as usize % pool.len()).copied()
 }
 
 /// The least reported load, without this entry's own requests since.
-fn reported<'t>(pool: &[&'t Target], q: &Query<'_>, _: u32) -> Option<&'t Target> {
+fn reported<'t>(pool: &[&'t Target], q: &RouteQuery<'_>, _: u32) -> Option<&'t Target> {
     let start = mix(q.random) as usize % pool.len();
     let (behind, ahead) = pool.split_at(start);
     ahead
         .iter()
         .chain(behind)
-        .min_by_key(|t| u64::from(t.slot.reported()) * 1000 / u64::from(t.capacity.max(1)))
+        .min_by_key(|t| u64::from(t.view.reported()) * 1000 / u64::from(t.capacity.max(1)))
         .copied()
 }
 
 /// The less loaded of two random agents.
-fn choices<'t>(pool: &[&'t Target], q: &Query<'_>, _: u32) -> Option<&'t Target> {
+fn choices<'t>(pool: &[&'t Target], q: &RouteQuery<'_>, _: u32) -> Option<&'t Target> {
     let n = pool.len();
     let draw = mix(q.random);
     let a = (draw >> 32) as usize % n;
@@ -92,7 +92,7 @@
 ///
 /// Agents that reported the prefix come first; without reports the rendezvous hash of the prefix decides, so that
 /// requests with the same beginning meet at the same agents from every entry.
-fn affinity<'t>(pool: &[&'t Target], q: &Query<'_>, slack: u32) -> Option<&'t Target> {
+fn affinity<'t>(pool: &[&'t Target], q: &RouteQuery<'_>, slack: u32) -> Option<&'t Target> {
     let Some(prefix) = q.prefix else {
         return choices(pool, q, slack);
     };
--- a/src/decide/route/table.rs
+++ b/src/decide/route/table.rs
@@ -10,7 +10,7 @@
 
 use super::{
     breaker::Breaker,
-    policy::{policy, Chooser},
+    policy::{chooser, Chooser},
 };
 use crate::{
     base::{lock, rendezvous, HashMap, Millis, ProcessName, VersionName},
@@ -24,9 +24,9 @@
 
 /// What this entry knows of one agent over all tables.
 #[derive(Debug, Default)]
-pub struct Slot {
+pub struct AgentView {
     /// Requests of this entry in progress at the agent.
-    inflight: AtomicU32,
+    in_flight: AtomicU32,
     /// Load that the agent reported last.
     reported: AtomicU32,
     /// Requests of this entry that were in progress when that report arrived.
@@ -53,16 +53,16 @@
     /// Input to the rendezvous hash of prefixes.
     pub seed: u64,
     /// Counts of this entry.
-    pub slot: Arc<Slot>,
+    pub view: Arc<AgentView>,
 }
 
 /// What a request asks of the table.
 #[derive(Clone, Copy, Debug)]
-pub struct Query<'a> {
+pub struct RouteQuery<'a> {
     /// Time of the process clock.
     pub now: Millis,
     /// Version on which a stream that has begun must continue; `None` for a new request.
-    pub only: Option<&'a VersionName>,
+    pub required_version: Option<&'a VersionName>,
     /// Hash of the prompt's prefix.
     pub prefix: Option<u64>,
     /// Agents that were tried before.
@@ -73,7 +73,7 @@
 
 /// Agents of one service that take work.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct RouteTable {
     /// All versions: a stream that began on an earlier version may only continue on it.
     targets: Vec<Target>,
     /// Version in the settings.
@@ -88,15 +88,15 @@
 
 /// Counts a request as in progress at an agent until it is dropped.
 #[derive(Debug)]
-pub struct Guard {
-    slot: Arc<Slot>,
+pub struct InFlightGuard {
+    view: Arc<AgentView>,
     probe: bool,
 }
 
-impl Slot {
+impl AgentView {
     /// Returns the number of requests of this entry in progress at the agent.
-    pub fn inflight(&self) -> u32 {
-        self.inflight.load(Ordering::Relaxed)
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight.load(Ordering::Relaxed)
     }
 
     /// Returns the load that the agent reported last.
@@ -111,30 +111,30 @@
     }
 
     /// Returns whether reports of the agent arrive.
-    pub fn is_alive(&self) -> bool {
+    pub fn is_reporting(&self) -> bool {
         self.alive.load(Ordering::Relaxed)
     }
 
     /// Sets whether reports of the agent arrive.
-    pub fn set_alive(&self, alive: bool) {
+    pub fn set_reporting(&self, alive: bool) {
         self.alive.store(alive, Ordering::Relaxed);
     }
 
     /// Counts a request as in progress.
-    pub fn begin(self: &Arc<Self>, now: Millis) -> Guard {
-        self.inflight.fetch_add(1, Ordering::Relaxed);
+    pub fn begin(self: &Arc<Self>, now: Millis) -> InFlightGuard {
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         let probe = lock(&self.breaker).begin(now);
-        Guard {
-            slot: self.clone(),
+        InFlightGuard {
+            view: self.clone(),
             probe,
         }
     }
 
     /// Takes over load and cached prefixes of a report.
-    pub fn learn(&self, report: &AgentReport) {
+    pub fn apply_report(&self, report: &AgentReport) {
         let load = report.running.saturating_add(report.waiting);
         self.reported.store(load, Ordering::Relaxed);
-        self.own.store(self.inflight(), Ordering::Relaxed);
+        self.own.store(self.in_flight(), Ordering::Relaxed);
         if report.prefixes.is_empty() {
             return;
         }
@@ -152,7 +152,7 @@
     }
 
     /// Forgets all prefixes, for example after a restart of the agent.
-    pub fn forget(&self) {
+    pub fn clear_prefixes(&self) {
         lock(&self.prefixes).clear();
     }
 
@@ -165,35 +165,35 @@
     }
 }
 
-impl Guard {
+impl InFlightGuard {
     /// Notes that the agent answered.
-    pub fn success(&self) {
-        lock(&self.slot.breaker).success();
+    pub fn record_success(&self) {
+        lock(&self.view.breaker).record_success();
     }
 
     /// Notes that the agent failed.
-    pub fn failure(&self, now: Millis) {
-        lock(&self.slot.breaker).failure(now);
+    pub fn record_failure(&self, now: Millis) {
+        lock(&self.view.breaker).record_failure(now);
     }
 
     /// Returns whether reports of the agent arrive.
-    pub fn is_alive(&self) -> bool {
-        self.slot.is_alive()
+    pub fn is_reporting(&self) -> bool {
+        self.view.is_reporting()
     }
 }
 
-impl Drop for Guard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.slot.inflight.fetch_sub(1, Ordering::Relaxed);
+        self.view.in_flight.fetch_sub(1, Ordering::Relaxed);
         if self.probe {
-            lock(&self.slot.breaker).release();
+            lock(&self.view.breaker).release_probe();
         }
     }
 }
 
 impl Target {
     /// Describes an agent.
-    pub fn new(peer: &Peer, report: &AgentReport, slot: Arc<Slot>) -> Self {
+    pub fn new(peer: &Peer, report: &AgentReport, slot: Arc<AgentView>) -> Self {
         Self {
             name: peer.host.name.clone(),
             peer: peer.host.peer,
@@ -201,13 +201,13 @@
             version: report.version.clone(),
             capacity: report.capacity,
             seed: rendezvous(b"prefix", peer.host.name.as_str().as_bytes()),
-            slot,
+            view: slot,
         }
     }
 
     /// Returns the reported load of other entries and this entry's own requests now.
     pub fn load(&self) -> u32 {
-        self.slot.others().saturating_add(self.slot.inflight())
+        self.view.others().saturating_add(self.view.in_flight())
     }
 
     /// Returns the load in thousandths of the capacity, with one request added.
@@ -231,24 +231,24 @@
 
     /// Returns whether the agent reported the prefix as cached.
     pub fn holds(&self, prefix: u64) -> bool {
-        self.slot.holds(prefix)
+        self.view.holds(prefix)
     }
 }
 
-impl Table {
+impl RouteTable {
     /// Creates a table with the policy and the version of the settings.
     pub fn new(targets: Vec<Target>, weights: &Weights, route: &Route) -> Self {
         Self {
             targets,
             version: weights.version.clone(),
             overlap: weights.overlap,
-            choose: policy(route.policy),
+            choose: chooser(route.policy),
             slack: route.slack,
         }
     }
 
     /// Iterates over the agents that take new requests.
-    pub fn open(&self) -> impl Iterator<Item = &Target> {
+    pub fn accepting(&self) -> impl Iterator<Item = &Target> {
         self.targets.iter().filter(|t| self.is_open(t))
     }
 
@@ -271,8 +271,8 @@
     pub fn window(&self, entries: u32) -> u32 {
         let mut free = 0_u32;
         let mut room = 0_u32;
-        for t in self.open() {
-            let others = t.slot.others();
+        for t in self.accepting() {
+            let others = t.view.others();
             free = free.saturating_add(t.ceiling().saturating_sub(others));
             room = room.saturating_add(t.ceiling());
         }
@@ -280,13 +280,13 @@
     }
 
     /// Chooses an agent: never one that was tried, unless all were.
-    pub fn choose(&self, q: &Query<'_>) -> Option<&Target> {
+    pub fn choose(&self, q: &RouteQuery<'_>) -> Option<&Target> {
         let fresh = |t: &&Target| !q.tried.contains(&t.name);
-        let allowed = |t: &&Target| t.slot.allows(q.now);
+        let allowed = |t: &&Target| t.view.allows(q.now);
         let fit: Vec<&Target> = self
             .targets
             .iter()
-            .filter(|t| self.fits(t, q.only))
+            .filter(|t| self.fits(t, q.required_version))
             .collect();
         let mut pool: Vec<&Target> = fit.iter().copied().filter(fresh).filter(allowed).collect();
         if pool.is_empty() {
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -205,7 +205,7 @@
         let mut permit = gate
             .admit(shared, &job.workspace, &limit, class, job.deadline)
             .await?;
-        gate.budget().request(job.budget);
+        gate.budget().record_request(job.budget);
         let waited = shared.now() - job.arrived;
         shared
             .metrics
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -7,7 +7,7 @@
 use super::{job::Job, shared::Shared};
 use crate::{
     base::{Attempt as Number, Digest, Millis, VersionName},
-    decide::route::{Guard, Target},
+    decide::route::{InFlightGuard, Target},
     net::{self, NetError},
     wire::{Call, NotRun, Reply, RunOutcome, FRAME_MAX},
 };
@@ -23,8 +23,8 @@
 const LOOK: Millis = Millis(100);
 
 /// Waits until the reports of an agent have stopped.
-async fn silent(guard: &Guard) {
-    while guard.is_alive() {
+async fn silent(guard: &InFlightGuard) {
+    while guard.is_reporting() {
         tokio::time::sleep(LOOK.duration()).await;
     }
 }
@@ -78,7 +78,7 @@
     call: net::Call,
     peer: SocketAddr,
     /// Counts the request at the agent.
-    pub(super) guard: Guard,
+    pub(super) guard: InFlightGuard,
     length: u64,
     hasher: Box<blake3::Hasher>,
     /// Output tokens that arrived or that the caller had before; never goes back.
@@ -104,7 +104,7 @@
         if left == Millis::ZERO {
             return Err(Fail::Deadline { sent: false });
         }
-        let guard = agent.slot.begin(now);
+        let guard = agent.view.begin(now);
         let open = shared
             .ctx
             .open(Call::Run(job.request(left, number, resume)));
@@ -123,15 +123,15 @@
                 tokens: job.version.is_some(),
             }),
             Ok(Err(NetError::Connect { .. })) => {
-                guard.failure(shared.now());
+                guard.record_failure(shared.now());
                 Err(Fail::Unsent)
             }
             Ok(Err(e)) => {
-                guard.failure(shared.now());
+                guard.record_failure(shared.now());
                 Err(Fail::Lost(e.to_string()))
             }
             Err(_) => {
-                guard.failure(shared.now());
+                guard.record_failure(shared.now());
                 shared.ctx.transport.discard(agent.peer);
                 Err(Fail::Lost("the agent does not read".to_owned()))
             }
@@ -149,9 +149,9 @@
             shared.metrics.corrupt.inc();
         }
         match &out {
-            Ok(Part::End) => self.guard.success(),
+            Ok(Part::End) => self.guard.record_success(),
             Err(Fail::Lost(_) | Fail::Corrupt(_) | Fail::NotRun(NotRun::Endpoint, _)) => {
-                self.guard.failure(shared.now());
+                self.guard.record_failure(shared.now());
             }
             _ => {}
         }
--- a/src/entry/flight.rs
+++ b/src/entry/flight.rs
@@ -13,8 +13,8 @@
 use crate::{
     base::{event::Event, jitter, Attempt as Number, Millis, ProcessName},
     decide::{
-        retry::{self, Loss, Next, Progress},
-        route::{Query, Target},
+        retry::{self, AttemptFailure, Progress, RetryDecision},
+        route::{RouteQuery, Target},
     },
     emit,
     kernel::Outcome,
@@ -83,9 +83,9 @@
 
     fn choose(&self, tried: &[ProcessName]) -> Option<Target> {
         let table = self.shared.table(&self.job.service)?;
-        let query = Query {
+        let query = RouteQuery {
             now: self.shared.now(),
-            only: self.job.version.as_ref().filter(|_| self.delivered > 0),
+            required_version: self.job.version.as_ref().filter(|_| self.delivered > 0),
             prefix: self.job.prefix,
             tried,
             random: fastrand::u64(..),
@@ -140,27 +140,27 @@
             self.shared.leaving(agent);
         }
         let loss = match &fail {
-            Fail::NotRun(reason, _) => Loss::NotRun(*reason),
-            Fail::Unsent => Loss::Unsent,
-            Fail::InProgress(_) => Loss::InProgress,
-            Fail::Lost(_) => Loss::Lost,
-            Fail::Corrupt(_) => Loss::Corrupt,
-            Fail::Deadline { .. } => Loss::Deadline,
+            Fail::NotRun(reason, _) => AttemptFailure::NotRun(*reason),
+            Fail::Unsent => AttemptFailure::Unsent,
+            Fail::InProgress(_) => AttemptFailure::InProgress,
+            Fail::Lost(_) => AttemptFailure::Lost,
+            Fail::Corrupt(_) => AttemptFailure::Corrupt,
+            Fail::Deadline { .. } => AttemptFailure::Deadline,
         };
         let progress = self.progress();
         let next = {
             let share = self.job.budget;
-            retry::next(&progress, loss, &mut self.gate.budget(), share)
+            retry::decide(&progress, loss, &mut self.gate.budget(), share)
         };
         let runs = matches!(
             fail,
             Fail::Lost(_) | Fail::Corrupt(_) | Fail::Deadline { sent: true }
         );
-        if runs && next != Next::Settle {
+        if runs && next != RetryDecision::Settle {
             self.uncertain = true;
         }
         match next {
-            Next::Again { advance } => {
+            RetryDecision::Retry { advance } => {
                 if advance {
                     // A void attempt says nothing against the agent.
                     self.tried.pop();
@@ -169,12 +169,12 @@
                 self.note_retry(&fail);
                 Ok(After::Again)
             }
-            Next::Resume => {
+            RetryDecision::Resume => {
                 self.note_retry(&fail);
                 Ok(After::Again)
             }
-            Next::Settle => self.settle().await,
-            Next::Stop => Err(self.problem(fail)),
+            RetryDecision::Settle => self.settle().await,
+            RetryDecision::Stop => Err(self.problem(fail)),
         }
     }
 
--- a/src/entry/gate.rs
+++ b/src/entry/gate.rs
@@ -9,10 +9,10 @@
     base::{lock, Clock, HashMap, Millis, SystemClock, Workspace},
     decide::{
         limit::{
-            share::{Holder, Share},
-            Ask, Class, Limiter, Reason, Ticket, Verdict,
+            share::{Share, ShareHolder},
+            AdmissionRequest, Class, Limiter, Reason, Ticket, Verdict,
         },
-        retry::Budget,
+        retry::RetryBudget,
     },
     settings::Limit,
 };
@@ -22,14 +22,14 @@
 pub(super) struct Gate {
     clock: SystemClock,
     state: Mutex<State>,
-    budget: Mutex<Budget>,
+    budget: Mutex<RetryBudget>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     limiter: Limiter,
     waiters: HashMap<Ticket, (Workspace, oneshot::Sender<()>)>,
-    holders: HashMap<Workspace, Holder>,
+    holders: HashMap<Workspace, ShareHolder>,
 }
 
 /// Lets a request be in progress until it is dropped.
@@ -53,7 +53,7 @@
     /// Wakes the requests that the limiter admitted.
     fn wake(&mut self, now: Millis) {
         loop {
-            let admitted = self.limiter.admitted();
+            let admitted = self.limiter.take_admitted();
             if admitted.is_empty() {
                 return;
             }
@@ -80,7 +80,7 @@
     }
 
     /// Returns the retry budget.
-    pub(super) fn budget(&self) -> MutexGuard<'_, Budget> {
+    pub(super) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.budget)
     }
 
@@ -106,7 +106,7 @@
 
     /// Returns the demand of each workspace since the last call.
     pub(super) fn demand(&self, elapsed: Millis) -> Vec<(Workspace, Share)> {
-        lock(&self.state).limiter.demand(elapsed)
+        lock(&self.state).limiter.take_demand(elapsed)
     }
 
     /// Takes over a granted share.
@@ -114,7 +114,7 @@
         let now = self.clock.now();
         let mut state = lock(&self.state);
         let holder = state.holders.entry(workspace.clone()).or_default();
-        holder.granted(share, until);
+        holder.set_grant(share, until);
         state.limiter.set_share(now, workspace, share);
         state.wake(now);
     }
@@ -138,7 +138,7 @@
             let mut state = lock(&self.state);
             let holder = state.holders.entry(workspace.clone()).or_default();
             let share = holder.share(now, whole(limit), entries);
-            let ask = Ask {
+            let ask = AdmissionRequest {
                 workspace,
                 share,
                 weight: limit.weight,
@@ -146,7 +146,7 @@
                 remaining: deadline - now,
                 class,
             };
-            let verdict = state.limiter.ask(now, &ask);
+            let verdict = state.limiter.admit(now, &ask);
             let waiter = match verdict {
                 Verdict::Wait(ticket, _) => {
                     let (tx, rx) = oneshot::channel();
@@ -188,7 +188,7 @@
         }
         let mut state = lock(&self.state);
         state.limiter.cancel(workspace, ticket);
-        let reason = state.limiter.blocked(workspace);
+        let reason = state.limiter.blocking_reason(workspace);
         state.waiters.remove(&ticket);
         drop(state);
         // It may have been admitted just before it was cancelled.
--- a/src/entry/share.rs
+++ b/src/entry/share.rs
@@ -8,7 +8,7 @@
 use super::shared::Shared;
 use crate::{
     base::{lock, rendezvous, Clock, HashMap, Millis, ProcessName, Service, Workspace},
-    decide::limit::share::{Pool, Share},
+    decide::limit::share::{Share, SharePool},
     net,
     wire::{Call, HostEntry, ShareItem, ShareReply, ShareRequest},
 };
@@ -35,7 +35,7 @@
 /// Workspaces that this entry coordinates.
 #[derive(Debug, Default)]
 pub(super) struct Coordinator {
-    pools: Mutex<HashMap<(Service, Workspace), Pool>>,
+    pools: Mutex<HashMap<(Service, Workspace), SharePool>>,
 }
 
 fn item(service: &Service, workspace: &Workspace, share: Share) -> ShareItem {
@@ -77,7 +77,7 @@
             };
             let key = (i.service.clone(), i.workspace.clone());
             let pool = pools.entry(key).or_default();
-            let granted = pool.ask(now, sender, share(i), limit, lifetime, shared.entries());
+            let granted = pool.grant(now, sender, share(i), limit, lifetime, shared.entries());
             Some(item(&i.service, &i.workspace, granted))
         };
         ShareReply {
--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -12,8 +12,8 @@
 use crate::{
     base::{lock, Clock, HashMap, Millis, ProcessName, Service},
     decide::{
-        member::{Action, Members, Wish},
-        route::{Slot, Table, Target},
+        member::{Action, Membership, WatchPolicy},
+        route::{AgentView, RouteTable, Target},
     },
     process::Context,
     settings::InForce,
@@ -32,9 +32,9 @@
 /// Membership and what belongs to it.
 #[derive(Debug)]
 struct View {
-    members: Members,
+    members: Membership,
     /// Counts of this entry, by agent.
-    slots: HashMap<ProcessName, Arc<Slot>>,
+    slots: HashMap<ProcessName, Arc<AgentView>>,
     /// Last host list that was taken over.
     hosts: Arc<Hosts>,
 }
@@ -51,7 +51,7 @@
     /// Notified when a share is too small.
     pub(super) shares: Notify,
     view: Mutex<View>,
-    tables: ArcSwap<HashMap<Service, Arc<Table>>>,
+    tables: ArcSwap<HashMap<Service, Arc<RouteTable>>>,
     gates: Mutex<HashMap<Service, Arc<Gate>>>,
     /// Live entries of the region, this one included.
     entries: AtomicU32,
@@ -106,7 +106,7 @@
     /// Creates the shared state.
     pub(super) fn new(ctx: Context) -> Self {
         let s = &ctx.settings;
-        let members = Members::new(s.name.clone(), s.region.clone(), s.zone.clone());
+        let members = Membership::new(s.name.clone(), s.region.clone(), s.zone.clone());
         Self {
             metrics: EntryMetrics::register(&ctx.metrics),
             waiting: Notify::new(),
@@ -146,14 +146,14 @@
     }
 
     /// Returns the agents of a service.
-    pub(super) fn table(&self, service: &Service) -> Option<Arc<Table>> {
+    pub(super) fn table(&self, service: &Service) -> Option<Arc<RouteTable>> {
         self.tables.load().get(service).cloned()
     }
 
     /// Returns whether an agent of the service takes new requests.
     pub(super) fn serves(&self, service: &Service) -> bool {
         let table = self.table(service);
-        table.is_some_and(|t| t.open().next().is_some())
+        table.is_some_and(|t| t.accepting().next().is_some())
     }
 
     /// Waits shortly after the start for the first agent of a service: callers know the address of an entry that
@@ -189,19 +189,24 @@
         let known = |v: &View| {
             let peer = v.members.get(&name)?;
             let r = peer.report.as_ref()?;
-            Some((peer.takes_work(), r.instance, r.capacity, r.version.clone()))
+            Some((
+                peer.accepts_requests(),
+                r.instance,
+                r.capacity,
+                r.version.clone(),
+            ))
         };
         let before = known(&view);
-        if !view.members.report(self.now(), report.clone()) {
+        if !view.members.apply_report(self.now(), report.clone()) {
             return;
         }
         let after = known(&view);
         let slot = view.slots.entry(name.clone()).or_default().clone();
         if before.as_ref().map(|k| k.1) != Some(report.instance) {
-            slot.forget();
+            slot.clear_prefixes();
         }
-        slot.learn(&report);
-        slot.set_alive(true);
+        slot.apply_report(&report);
+        slot.set_reporting(true);
         // Reports come several times a second from each agent; a table for each would cost too much.
         if before != after {
             self.rebuild(&view);
@@ -211,14 +216,14 @@
     /// Notes that the reports of an agent broke off.
     pub(super) fn broken(&self, name: &ProcessName) {
         let mut view = self.view();
-        view.members.broken(name);
+        view.members.mark_stream_broken(name);
         self.rebuild(&view);
     }
 
     /// Notes that an agent refused a request because it leaves.
     pub(super) fn leaving(&self, name: &ProcessName) {
         let mut view = self.view();
-        view.members.leaving(name);
+        view.members.mark_leaving(name);
         self.rebuild(&view);
     }
 
@@ -231,27 +236,27 @@
         let mut guard = self.view();
         let view = &mut *guard;
         if !Arc::ptr_eq(&view.hosts, &hosts) {
-            view.members.listed(now, &hosts);
+            view.members.apply_hosts(now, &hosts);
             view.hosts = hosts;
             let live = self.live_entries().len().max(1);
             self.entries.store(live as u32, Ordering::Relaxed);
         }
         let (actions, _) = view.members.tick(now, |service| {
             let s = settings.service(region, service)?;
-            Some(Wish {
+            Some(WatchPolicy {
                 subset: s.route.subset as usize,
-                across: s.route.across,
+                cross_region: s.route.across,
                 version: s.weights.version.clone(),
             })
         });
         for peer in view.members.peers().filter(|p| p.watched) {
             if let Some(slot) = view.slots.get(&peer.host.name) {
-                slot.set_alive(peer.is_heard(now));
+                slot.set_reporting(peer.is_reporting(now));
             }
         }
         let members = &view.members;
         view.slots
-            .retain(|name, slot| members.get(name).is_some() || slot.inflight() > 0);
+            .retain(|name, slot| members.get(name).is_some() || slot.in_flight() > 0);
         self.rebuild(view);
         actions
     }
@@ -265,14 +270,14 @@
             let targets: Vec<Target> = view
                 .members
                 .peers()
-                .filter(|p| p.service == *service && p.takes_work())
+                .filter(|p| p.service == *service && p.accepts_requests())
                 .filter_map(|p| {
                     let slot = view.slots.get(&p.host.name)?.clone();
                     Some(Target::new(p, p.report.as_ref()?, slot))
                 })
                 .collect();
-            let table = Table::new(targets, &s.weights, &s.route);
-            let open = table.open().count();
+            let table = RouteTable::new(targets, &s.weights, &s.route);
+            let open = table.accepting().count();
             self.metrics.set_agents(service.as_str(), open);
             windows.push((self.gate(service), table.window(self.entries())));
             tables.insert(service.clone(), Arc::new(table));
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -24,7 +24,7 @@
 };
 use crate::{
     base::{Clock, HashMap, HashSet, Millis, Service, SystemClock},
-    decide::retry::Budget,
+    decide::retry::RetryBudget,
     emit,
     http::Pool,
 };
@@ -65,7 +65,7 @@
     pub(super) named: RefCell<HashMap<Rc<str>, Named>>,
     /// Turns of each service, for the newest named version and the endpoints at the last change.
     turns: RefCell<HashMap<Service, Rc<Turns>>>,
-    budgets: RefCell<HashMap<Service, Budget>>,
+    budgets: RefCell<HashMap<Service, RetryBudget>>,
     /// Endpoints of which this entry is the home.
     pub(super) homes: RefCell<HashSet<EndpointId>>,
     /// Whether the endpoints were read once.
@@ -291,25 +291,25 @@
         Some(outdated + self.bounds.get().version - RECALL_MARGIN)
     }
 
-    fn budget<T>(&self, service: &Service, f: impl FnOnce(&mut Budget) -> T) -> T {
+    fn budget<T>(&self, service: &Service, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
         let bounds = self.bounds.get();
         let shares = BUDGET_SHARES.max(self.members.borrow().count() as u32 * 3 / 2);
         let burst = (bounds.retry_burst / shares).max(1);
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::with_burst(burst));
+            .or_insert_with(|| RetryBudget::with_burst(burst));
         f(budget)
     }
 
     /// Notes a caller's request in the budget of its service.
     pub(super) fn count_request(&self, service: &Service) {
-        self.budget(service, |b| b.request(self.bounds.get().retries));
+        self.budget(service, |b| b.record_request(self.bounds.get().retries));
     }
 
     /// Takes a further attempt from the budget of a service; returns whether there was one.
     pub(super) fn take_retry(&self, service: &Service) -> bool {
-        let taken = self.budget(service, |b| b.take(self.bounds.get().retries));
+        let taken = self.budget(service, |b| b.try_take(self.bounds.get().retries));
         if taken {
             self.metrics.retries.inc();
         }
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -160,23 +160,23 @@
         match outcome {
             Outcome::Served => {
                 failure(0.0);
-                self.breaker.success();
+                self.breaker.record_success();
                 self.refusing = Default::default();
             }
             Outcome::Refused => {
                 let time = self.refusing.1.times(2).clamp(REFUSAL, REFUSAL_MAX);
                 self.refusing = (now + time, time);
-                self.breaker.release();
+                self.breaker.release_probe();
             }
             Outcome::Failed => {
                 failure(1.0);
-                self.breaker.release();
+                self.breaker.release_probe();
             }
             Outcome::Unreachable => {
                 failure(1.0);
-                self.breaker.failure(now);
+                self.breaker.record_failure(now);
             }
-            Outcome::Abandoned => self.breaker.release(),
+            Outcome::Abandoned => self.breaker.release_probe(),
         }
     }
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -8,7 +8,9 @@
 use entry_support::{outcome, reply, until, whole, World};
 use sesamewing::{
     base::{Millis, RequestId, Workspace},
-    decide::limit::{share::Share, Ask, Class, Limiter, Reason, Ticket, Verdict, RESERVE},
+    decide::limit::{
+        share::Share, AdmissionRequest, Class, Limiter, Reason, Ticket, Verdict, STATUS_RESERVE,
+    },
 };
 
 const WIDE: Share = Share {
@@ -16,8 +18,8 @@
     rate: 10_000_000,
 };
 
-fn ask(workspace: &Workspace) -> Ask<'_> {
-    Ask {
+fn ask(workspace: &Workspace) -> AdmissionRequest<'_> {
+    AdmissionRequest {
         workspace,
         share: WIDE,
         weight: 1,
@@ -72,7 +74,7 @@
                     load.offered[i] += 1;
                     let mut a = ask(&names[i]);
                     (a.weight, a.remaining) = (*weight, DEADLINE);
-                    match load.limiter.ask(now, &a) {
+                    match load.limiter.admit(now, &a) {
                         Verdict::Admit(_) => load.start(now, i, now),
                         Verdict::Wait(t, until) => drop(load.waiting.insert(t, (i, until, now))),
                         Verdict::Refuse(..) => load.refused += 1,
@@ -90,7 +92,7 @@
     }
 
     fn admit(&mut self, now: Millis) {
-        for t in self.limiter.admitted() {
+        for t in self.limiter.take_admitted() {
             let (i, _, arrived) = self.waiting.remove(&t).expect("only who waits is admitted");
             self.start(now, i, arrived);
         }
@@ -177,25 +179,25 @@
     let mut l = Limiter::default();
     l.set_window(Millis(1), 2);
     for i in 0..8 {
-        assert_matches!(l.ask(Millis(i), &ask(&lab)), Verdict::Admit(_));
+        assert_matches!(l.admit(Millis(i), &ask(&lab)), Verdict::Admit(_));
         l.release(Millis(i), &lab, Class::Work, Some(Millis(2000)));
     }
-    let hurry = Ask {
+    let hurry = AdmissionRequest {
         remaining: Millis(500),
         ..ask(&lab)
     };
     assert_matches!(
-        l.ask(Millis(10), &hurry),
+        l.admit(Millis(10), &hurry),
         Verdict::Refuse(Reason::Deadline, _)
     );
-    assert_matches!(l.ask(Millis(10), &ask(&lab)), Verdict::Admit(_));
-    assert_matches!(l.ask(Millis(10), &ask(&lab)), Verdict::Admit(_));
+    assert_matches!(l.admit(Millis(10), &ask(&lab)), Verdict::Admit(_));
+    assert_matches!(l.admit(Millis(10), &ask(&lab)), Verdict::Admit(_));
     // A place becomes free only after about a second, and the workspace waits at most half of one.
-    assert_matches!(l.ask(Millis(10), &ask(&lab)), Verdict::Refuse(Reason::Saturated, t) if t >= Millis(500));
+    assert_matches!(l.admit(Millis(10), &ask(&lab)), Verdict::Refuse(Reason::Saturated, t) if t >= Millis(500));
     // Old measurements must not refuse for ever.
     let later = Millis(60_000);
     l.release(later, &lab, Class::Work, None);
-    assert_matches!(l.ask(later, &hurry), Verdict::Admit(_));
+    assert_matches!(l.admit(later, &hurry), Verdict::Admit(_));
 }
 
 /// Guards against status checks that queue behind orders, and against a reserve without bound.
@@ -204,18 +206,18 @@
     let lab = space("lab");
     let mut l = Limiter::default();
     l.set_window(Millis(1), 1);
-    assert_matches!(l.ask(Millis(1), &ask(&lab)), Verdict::Admit(Class::Work));
-    assert_matches!(l.ask(Millis(1), &ask(&lab)), Verdict::Wait(..));
-    let status = Ask {
+    assert_matches!(l.admit(Millis(1), &ask(&lab)), Verdict::Admit(Class::Work));
+    assert_matches!(l.admit(Millis(1), &ask(&lab)), Verdict::Wait(..));
+    let status = AdmissionRequest {
         class: Class::Status,
         ..ask(&lab)
     };
-    for _ in 0..RESERVE {
-        assert_matches!(l.ask(Millis(1), &status), Verdict::Admit(Class::Status));
+    for _ in 0..STATUS_RESERVE {
+        assert_matches!(l.admit(Millis(1), &status), Verdict::Admit(Class::Status));
     }
-    assert_matches!(l.ask(Millis(1), &status), Verdict::Wait(..));
+    assert_matches!(l.admit(Millis(1), &status), Verdict::Wait(..));
     l.release(Millis(2), &lab, Class::Status, None);
-    assert_matches!(l.ask(Millis(2), &status), Verdict::Admit(Class::Status));
+    assert_matches!(l.admit(Millis(2), &status), Verdict::Admit(Class::Status));
 }
 
 /// Guards against a rate limit that lets more pass, or that refuses without a useful time.
@@ -224,7 +226,7 @@
     let lab = space("lab");
     let mut l = Limiter::default();
     l.set_window(Millis(1), 1000);
-    let slow = Ask {
+    let slow = AdmissionRequest {
         share: Share {
             concurrency: 100,
             rate: 2000,
@@ -232,14 +234,14 @@
         wait: Millis(100),
         ..ask(&lab)
     };
-    assert_matches!(l.ask(Millis(1), &slow), Verdict::Admit(_));
-    assert_matches!(l.ask(Millis(1), &slow), Verdict::Admit(_));
-    assert_matches!(l.ask(Millis(1), &slow), Verdict::Refuse(Reason::Rate, t) if t == Millis(500));
+    assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
+    assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
+    assert_matches!(l.admit(Millis(1), &slow), Verdict::Refuse(Reason::Rate, t) if t == Millis(500));
     let mut passed = 0;
     for t in (2..10_002).step_by(10) {
         let now = Millis(t);
-        passed += usize::from(matches!(l.ask(now, &slow), Verdict::Admit(_)));
-        passed += l.admitted().len();
+        passed += usize::from(matches!(l.admit(now, &slow), Verdict::Admit(_)));
+        passed += l.take_admitted().len();
     }
     assert!(
         (17..=20).contains(&passed),
@@ -253,7 +255,7 @@
     let lab = space("lab");
     let mut l = Limiter::default();
     l.set_window(Millis(1), 1000);
-    let slow = Ask {
+    let slow = AdmissionRequest {
         share: Share {
             concurrency: 100,
             rate: 2000,
@@ -261,15 +263,15 @@
         wait: Millis(600),
         ..ask(&lab)
     };
-    assert_matches!(l.ask(Millis(1), &slow), Verdict::Admit(_));
-    assert_matches!(l.ask(Millis(1), &slow), Verdict::Admit(_));
-    let Verdict::Wait(ticket, _) = l.ask(Millis(1), &slow) else {
+    assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
+    assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
+    let Verdict::Wait(ticket, _) = l.admit(Millis(1), &slow) else {
         panic!("a token comes within the wait");
     };
     l.cancel(&lab, ticket);
     // The next token has come by now.
     l.dispatch(Millis(700));
-    assert_eq!(l.blocked(&lab), Reason::Rate);
+    assert_eq!(l.blocking_reason(&lab), Reason::Rate);
 }
 
 /// Guards against admissions beyond window or share, and against requests that are lost between queue and driver.
@@ -293,9 +295,9 @@
                         concurrency: 1 + i as u32,
                         ..WIDE
                     };
-                    match l.ask(
+                    match l.admit(
                         now,
-                        &Ask {
+                        &AdmissionRequest {
                             share,
                             ..ask(&names[i])
                         },
@@ -320,13 +322,13 @@
                     l.cancel(&names[i], t);
                 }
             }
-            for t in l.admitted() {
+            for t in l.take_admitted() {
                 let (i, until) = waiting.remove(&t).expect("waits and was not cancelled");
                 assert!(until >= now, "seed {seed}: admitted after it was given up");
                 running[i] += 1;
             }
             let sum: u32 = running.iter().sum();
-            assert_eq!(l.inflight(), sum, "seed {seed}");
+            assert_eq!(l.in_flight(), sum, "seed {seed}");
             assert!(sum <= window.max(before), "seed {seed}: {sum} of {window}");
             for (i, n) in running.iter().enumerate() {
                 assert!(*n <= 1 + i as u32, "seed {seed}: {n} of workspace {i}");
--- a/tests/claim_faults.rs
+++ b/tests/claim_faults.rs
@@ -4,13 +4,15 @@
 use proptest::prelude::*;
 use sesamewing::{
     base::{Attempt, Digest, Instance, Millis, Offset, RequestId},
-    decide::claim::{Action, AppendEnd, ClaimRunner, Rules, RunEnd, Submit, Ticket, Verdict},
+    decide::claim::{
+        Action, AppendResult, ClaimRunner, RunResult, Submission, Ticket, Timing, Verdict,
+    },
     kernel::{Entry, Kernel, Record},
     wire::{NotRun, RunOutcome, SettleReply},
 };
 
 const AGENTS: usize = 3;
-const RULES: Rules = Rules {
+const RULES: Timing = Timing {
     linger: Millis(5),
     readback: Millis(200),
 };
@@ -107,7 +109,7 @@
                     assert!(self.open.iter().any(waits), "ran for nobody: {payload:?}");
                     self.runs.push((agent.instance, payload));
                 }
-                Action::Answer(Ticket(t), verdict) => {
+                Action::Reply(Ticket(t), verdict) => {
                     self.open.retain(|(o, _)| *o != t);
                     let Verdict::Failed(RunOutcome::NotRun(reason)) = verdict else {
                         continue;
@@ -142,7 +144,7 @@
             Op::Submit(a, n, attempt) => {
                 let (ticket, id, attempt) = self.ticket(n, attempt);
                 self.open.push((ticket.0, agents[a].instance));
-                let submit = Submit {
+                let submit = Submission {
                     id,
                     digest: Digest::of(b"x"),
                     attempt,
@@ -162,16 +164,16 @@
                     return;
                 };
                 let end = match fate {
-                    Fate::Answered => AppendEnd::Appended,
-                    Fate::Refused => AppendEnd::Refused,
-                    Fate::AnswerLost | Fate::RecordLost | Fate::Late => AppendEnd::Unknown,
+                    Fate::Answered => AppendResult::Appended,
+                    Fate::Refused => AppendResult::Refused,
+                    Fate::AnswerLost | Fate::RecordLost | Fate::Late => AppendResult::Unknown,
                 };
                 match fate {
                     Fate::Answered | Fate::AnswerLost => self.push(&record),
                     Fate::Late => self.late.push(record.clone()),
                     Fate::Refused | Fate::RecordLost => {}
                 }
-                agents[a].runner.appended(now, record.id, end);
+                agents[a].runner.complete_append(now, record.id, end);
             }
             Op::Deliver(n) if !self.late.is_empty() => {
                 let record = self.late.remove(n % self.late.len());
@@ -191,18 +193,18 @@
                 };
                 let instance = agents[a].instance;
                 let end = match end {
-                    0 => RunEnd::Unknown,
+                    0 => RunResult::Unknown,
                     1 => {
                         self.runs.retain(|r| *r != (instance, run));
-                        RunEnd::NotSent
+                        RunResult::NotSent
                     }
-                    _ => RunEnd::Answered {
+                    _ => RunResult::Responded {
                         status: 200,
                         media: String::new(),
                         body: Bytes::from_static(b"ok"),
                     },
                 };
-                agents[a].runner.finished(now, run.0, end);
+                agents[a].runner.complete_run(now, run.0, end);
             }
             Op::Advance(ms) => self.now += ms,
             Op::Restart(a) => {
--- a/tests/claim_runner.rs
+++ b/tests/claim_runner.rs
@@ -5,14 +5,15 @@
 use sesamewing::{
     base::{Attempt, Digest, Instance, Millis, Offset, RequestId},
     decide::claim::{
-        Action, AppendEnd, ClaimRunner, Rules, RunEnd, Submit, Ticket, Verdict, WORKS_MAX,
+        Action, AppendResult, ClaimRunner, RunResult, Submission, Ticket, Timing, Verdict,
+        REQUESTS_MAX,
     },
     kernel::{Body, Entry, Kernel, Record},
     wire::{NotRun, RunOutcome, SettleReply},
 };
 
 const WINDOW: Millis = Millis::from_secs(3600);
-const RULES: Rules = Rules {
+const RULES: Timing = Timing {
     linger: Millis(5),
     readback: Millis(2000),
 };
@@ -54,7 +55,7 @@
     }
 
     fn submit(&mut self, now: u64, ticket: u64, request: RequestId, attempt: u32, body: &str) {
-        let submit = Submit {
+        let submit = Submission {
             id: request,
             digest: Digest::of(body.as_bytes()),
             attempt: Attempt(attempt),
@@ -83,7 +84,7 @@
             match action {
                 Action::Append(record) => self.sent.push(record),
                 Action::Run { payload, .. } => self.runs.push(payload),
-                Action::Answer(ticket, verdict) => self.answers.push((ticket, verdict)),
+                Action::Reply(ticket, verdict) => self.answers.push((ticket, verdict)),
                 Action::Settled(ticket, reply) => self.settled.push((ticket, reply)),
             }
         }
@@ -99,8 +100,8 @@
         self.poll(now);
     }
 
-    fn appended(&mut self, now: u64, record: &Record, end: AppendEnd) {
-        self.runner.appended(Millis(now), record.id, end);
+    fn appended(&mut self, now: u64, record: &Record, end: AppendResult) {
+        self.runner.complete_append(Millis(now), record.id, end);
         self.poll(now);
     }
 
@@ -111,19 +112,19 @@
             self.poll(now);
             for record in std::mem::take(&mut self.sent) {
                 log.push(&record);
-                self.appended(now, &record, AppendEnd::Appended);
+                self.appended(now, &record, AppendResult::Appended);
             }
             self.read(now, log);
         }
     }
 
     fn finish(&mut self, now: u64, request: RequestId, body: &[u8]) {
-        let end = RunEnd::Answered {
+        let end = RunResult::Responded {
             status: 200,
             media: "text/plain".to_owned(),
             body: Bytes::copy_from_slice(body),
         };
-        self.runner.finished(Millis(now), request, end);
+        self.runner.complete_run(Millis(now), request, end);
         self.poll(now);
     }
 
@@ -205,7 +206,7 @@
         if arrival == "before" {
             log.push(&claim);
         }
-        a.appended(10, &claim, AppendEnd::Unknown);
+        a.appended(10, &claim, AppendResult::Unknown);
         assert_eq!(a.outcome(1), Some(RunOutcome::NotRun(NotRun::Log)));
         // The refusal holds for a repeat while the void is under way.
         a.submit(11, 2, id(1), 1, "x");
@@ -233,7 +234,7 @@
     a.poll(5);
     let claim = a.sent.pop().expect("a claim");
     log.push(&claim);
-    a.appended(6, &claim, AppendEnd::Appended);
+    a.appended(6, &claim, AppendResult::Appended);
     a.read(5 + RULES.readback.0, &log);
     a.sync(3000, &mut log);
     assert_eq!(a.runs, []);
@@ -269,7 +270,7 @@
     // Neither agent has read the claim yet.
     let claim = a.sent.pop().expect("a claim");
     log.push(&claim);
-    a.appended(6, &claim, AppendEnd::Appended);
+    a.appended(6, &claim, AppendResult::Appended);
     a.settle(6, 8, id(1), 1);
     b.settle(6, 9, id(1), 1);
     b.sync(10, &mut log);
@@ -292,7 +293,7 @@
     a.poll(5);
     let claim = a.sent.pop().expect("a claim");
     a.submit(6, 2, id(2), 1, "x");
-    a.appended(7, &claim, AppendEnd::Refused);
+    a.appended(7, &claim, AppendResult::Refused);
     a.submit(8, 3, id(3), 1, "x");
     for ticket in 1..=3 {
         assert_eq!(a.outcome(ticket), Some(RunOutcome::NotRun(NotRun::Log)));
@@ -351,7 +352,7 @@
     let (mut a, mut log) = (Agent::new(1), Log::default());
     a.submit(0, 1, id(1), 1, "x");
     a.sync(0, &mut log);
-    a.runner.finished(Millis(60), id(1), RunEnd::Unknown);
+    a.runner.complete_run(Millis(60), id(1), RunResult::Unknown);
     a.poll(60);
     a.submit(61, 2, id(1), 1, "x");
     a.submit(61, 3, id(1), 2, "x");
@@ -372,7 +373,7 @@
     let (mut a, mut b, mut log) = (Agent::new(1), Agent::new(2), Log::default());
     a.submit(0, 1, id(1), 1, "x");
     a.sync(0, &mut log);
-    a.runner.finished(Millis(60), id(1), RunEnd::NotSent);
+    a.runner.complete_run(Millis(60), id(1), RunResult::NotSent);
     a.poll(60);
     assert_eq!(a.verdict(1), None);
     a.sync(60, &mut log);
@@ -428,10 +429,10 @@
     a.sync(50, &mut log);
     assert_eq!(log.0.len(), 2);
     assert_eq!(a.runner.pending(), 0);
-    for n in 0..=WORKS_MAX as u16 {
+    for n in 0..=REQUESTS_MAX as u16 {
         a.submit(100, 1000 + u64::from(n), id(1000 + n), 1, "x");
     }
-    let last = 1000 + WORKS_MAX as u64;
+    let last = 1000 + REQUESTS_MAX as u64;
     assert_eq!(a.outcome(last), Some(RunOutcome::NotRun(NotRun::Busy)));
 }
 
@@ -447,7 +448,7 @@
     let first = a.sent.pop().expect("a claim");
     assert!(a.sent.is_empty());
     log.push(&first);
-    a.appended(101, &first, AppendEnd::Appended);
+    a.appended(101, &first, AppendResult::Appended);
     assert_matches!(&a.sent[..], [Record { body: Body::Claims(c), .. }] if c.len() == 2);
     a.sync(102, &mut log);
     assert_eq!(a.runs.len(), 3);
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -7,7 +7,7 @@
 use entry_support::World;
 use sesamewing::{
     base::{Millis, Offset, ProcessName},
-    decide::limit::share::{Holder, Pool, Share},
+    decide::limit::share::{Share, ShareHolder, SharePool},
     net::Transport,
     wire::{Call, Open, ShareItem, ShareReply, ShareRequest},
 };
@@ -21,7 +21,7 @@
     };
     for seed in 0..50 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut pool = Pool::default();
+        let mut pool = SharePool::default();
         let mut held: BTreeMap<ProcessName, (Share, Millis)> = BTreeMap::new();
         let mut now = Millis(0);
         for _ in 0..400 {
@@ -31,7 +31,7 @@
                 concurrency: random.u32(0..100),
                 rate: random.u64(0..2_000_000),
             };
-            let got = pool.ask(now, &name, demand, limit, Millis(3000), 9);
+            let got = pool.grant(now, &name, demand, limit, Millis(3000), 9);
             held.insert(name, (got, now + Millis(3000)));
             held.retain(|_, (_, until)| *until > now);
             let sum: u32 = held.values().map(|(s, _)| s.concurrency).sum();
@@ -42,14 +42,14 @@
             );
         }
     }
-    let mut pool = Pool::default();
+    let mut pool = SharePool::default();
     let names: Vec<ProcessName> = (0..3).map(|i| format!("e{i}").parse().unwrap()).collect();
-    let ask = |pool: &mut Pool, i: usize, concurrency| {
+    let ask = |pool: &mut SharePool, i: usize, concurrency| {
         let demand = Share {
             concurrency,
             rate: 0,
         };
-        pool.ask(Millis(1), &names[i], demand, limit, Millis(3000), 3)
+        pool.grant(Millis(1), &names[i], demand, limit, Millis(3000), 3)
             .concurrency
     };
     assert_eq!(
@@ -70,7 +70,7 @@
         concurrency: 64,
         rate: 90_000,
     };
-    let mut holder = Holder::default();
+    let mut holder = ShareHolder::default();
     assert_eq!(
         holder.share(Millis(1), limit, 9),
         Share {
@@ -78,7 +78,7 @@
             rate: 10_000
         }
     );
-    holder.granted(
+    holder.set_grant(
         Share {
             concurrency: 50,
             rate: 0,
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -2,7 +2,9 @@
 
 use sesamewing::{
     base::{Instance, Millis, Offset, ProcessName, Service},
-    decide::member::{Action, Members, PeerState, Wish, GONE_AFTER, SUSPECT_AFTER, UNFIT_AFTER},
+    decide::member::{
+        Action, Membership, PeerState, WatchPolicy, GONE_AFTER, SUSPECT_AFTER, UNFIT_AFTER,
+    },
     wire::{AgentReport, AgentState, HostEntry, HostState, Hosts, Role},
 };
 
@@ -53,34 +55,34 @@
     }
 }
 
-fn wish(subset: usize) -> impl Fn(&Service) -> Option<Wish> {
+fn wish(subset: usize) -> impl Fn(&Service) -> Option<WatchPolicy> {
     move |_| {
-        Some(Wish {
+        Some(WatchPolicy {
             subset,
-            across: true,
+            cross_region: true,
             version: Some("v1".parse().unwrap()),
         })
     }
 }
 
-fn members(hosts: &Hosts) -> Members {
-    let mut m = Members::new(
+fn members(hosts: &Hosts) -> Membership {
+    let mut m = Membership::new(
         "entry-1".parse().unwrap(),
         "east".parse().unwrap(),
         "east-a".parse().unwrap(),
     );
-    m.listed(T0, hosts);
+    m.apply_hosts(T0, hosts);
     m
 }
 
-fn watched(m: &Members) -> Vec<ProcessName> {
+fn watched(m: &Membership) -> Vec<ProcessName> {
     m.peers()
         .filter(|p| p.watched)
         .map(|p| p.host.name.clone())
         .collect()
 }
 
-fn state(m: &Members, i: usize) -> PeerState {
+fn state(m: &Membership, i: usize) -> PeerState {
     m.get(&name(i)).unwrap().state
 }
 
@@ -90,14 +92,14 @@
     let mut m = members(&hosts(1));
     m.tick(T0, wish(8));
     assert_eq!(state(&m, 0), PeerState::Joining);
-    assert!(m.report(T0, report(0, 1, 1, AgentState::Serving)));
-    assert!(m.get(&name(0)).unwrap().takes_work());
+    assert!(m.apply_report(T0, report(0, 1, 1, AgentState::Serving)));
+    assert!(m.get(&name(0)).unwrap().accepts_requests());
     m.tick(T0 + SUSPECT_AFTER, wish(8));
     assert_eq!(state(&m, 0), PeerState::Suspect);
-    assert!(!m.get(&name(0)).unwrap().takes_work());
+    assert!(!m.get(&name(0)).unwrap().accepts_requests());
     m.tick(T0 + GONE_AFTER, wish(8));
     assert_eq!(state(&m, 0), PeerState::Gone);
-    assert!(m.report(T0 + GONE_AFTER, report(0, 1, 2, AgentState::Serving)));
+    assert!(m.apply_report(T0 + GONE_AFTER, report(0, 1, 2, AgentState::Serving)));
     assert_eq!(state(&m, 0), PeerState::Alive);
 }
 
@@ -106,26 +108,26 @@
 fn leaving_is_final_for_a_run() {
     let mut m = members(&hosts(1));
     m.tick(T0, wish(8));
-    m.report(T0, report(0, 1, 1, AgentState::Serving));
-    m.report(T0, report(0, 1, 3, AgentState::Leaving));
+    m.apply_report(T0, report(0, 1, 1, AgentState::Serving));
+    m.apply_report(T0, report(0, 1, 3, AgentState::Leaving));
     assert!(
-        !m.report(T0, report(0, 1, 2, AgentState::Serving)),
+        !m.apply_report(T0, report(0, 1, 2, AgentState::Serving)),
         "older report"
     );
-    m.report(T0, report(0, 1, 4, AgentState::Serving));
+    m.apply_report(T0, report(0, 1, 4, AgentState::Serving));
     assert_eq!(state(&m, 0), PeerState::Leaving);
     // The list still shows it as live.
-    m.listed(T0, &hosts(1));
+    m.apply_hosts(T0, &hosts(1));
     m.tick(T0, wish(8));
     assert_eq!(state(&m, 0), PeerState::Leaving);
-    m.report(T0, report(0, 2, 1, AgentState::Serving));
+    m.apply_report(T0, report(0, 2, 1, AgentState::Serving));
     assert_eq!(
         state(&m, 0),
         PeerState::Alive,
         "a later run is another agent"
     );
     assert!(
-        !m.report(T0, report(0, 1, 9, AgentState::Leaving)),
+        !m.apply_report(T0, report(0, 1, 9, AgentState::Leaving)),
         "late report of the earlier run"
     );
     assert_eq!(state(&m, 0), PeerState::Alive);
@@ -136,17 +138,17 @@
 fn direct_reports_win_over_the_list() {
     let mut m = members(&hosts(1));
     m.tick(T0, wish(8));
-    m.report(T0, report(0, 1, 1, AgentState::Serving));
+    m.apply_report(T0, report(0, 1, 1, AgentState::Serving));
     let leaving = Hosts {
         hosts: vec![host(0, "east-a", HostState::Leaving)],
     };
-    m.listed(T0, &leaving);
+    m.apply_hosts(T0, &leaving);
     assert_eq!(state(&m, 0), PeerState::Alive);
-    m.listed(T0, &Hosts::default());
-    assert!(m.get(&name(0)).unwrap().takes_work());
+    m.apply_hosts(T0, &Hosts::default());
+    assert!(m.get(&name(0)).unwrap().accepts_requests());
     assert!(m.get(&name(1)).is_none(), "a removed agent without reports");
     m.tick(T0 + SUSPECT_AFTER, wish(8));
-    m.listed(T0 + SUSPECT_AFTER, &Hosts::default());
+    m.apply_hosts(T0 + SUSPECT_AFTER, &Hosts::default());
     assert!(m.get(&name(0)).is_none());
 }
 
@@ -172,7 +174,7 @@
     }
     let mut small = members(&hosts(20));
     small.tick(T0, wish(32));
-    let near = |m: &Members, zone: &str| {
+    let near = |m: &Membership, zone: &str| {
         let zones = watched(m)
             .into_iter()
             .map(|n| m.get(&n).unwrap().host.zone.clone());
@@ -188,8 +190,8 @@
     let mut seen: Vec<ProcessName> = Vec::new();
     for e in 0..20 {
         let own = format!("entry-{e}").parse().unwrap();
-        let mut m = Members::new(own, "east".parse().unwrap(), "east-a".parse().unwrap());
-        m.listed(T0, &all);
+        let mut m = Membership::new(own, "east".parse().unwrap(), "east-a".parse().unwrap());
+        m.apply_hosts(T0, &all);
         m.tick(T0, wish(16));
         seen.extend(watched(&m));
     }
@@ -218,7 +220,7 @@
             let i = n.as_str().trim_start_matches("agent-").parse().unwrap();
             let mut r = report(i, 1, now.0, AgentState::Serving);
             r.version = has(&n).then(|| "v1".parse().unwrap());
-            m.report(now, r);
+            m.apply_report(now, r);
         }
         now += Millis(500);
     }
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -5,7 +5,9 @@
 use entry_support::{outcome, World};
 use sesamewing::{
     base::{Millis, Percent},
-    decide::retry::{next, Budget, Loss, Next, Progress, BURST},
+    decide::retry::{
+        decide as decide_retry, AttemptFailure, Progress, RetryBudget, RetryDecision, BURST_TOKENS,
+    },
     wire::{NotRun, Reply, RunOutcome},
 };
 
@@ -13,27 +15,27 @@
 #[test]
 fn budget_holds_under_a_storm() {
     let (share, requests) = (Percent(10), 10_000_u32);
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..requests {
-        budget.request(share);
-        retries += (0..5).filter(|_| budget.take(share)).count() as u32;
+        budget.record_request(share);
+        retries += (0..5).filter(|_| budget.try_take(share)).count() as u32;
     }
-    assert!(retries <= requests / 10 + BURST, "{retries}");
+    assert!(retries <= requests / 10 + BURST_TOKENS, "{retries}");
     assert!(retries >= requests / 10, "{retries}");
 }
 
 /// Guards against a quiet time that saves up retries for a storm.
 #[test]
 fn quiet_time_saves_only_a_burst() {
-    let mut budget = Budget::default();
-    (0..100_000).for_each(|_| budget.request(Percent(10)));
+    let mut budget = RetryBudget::default();
+    (0..100_000).for_each(|_| budget.record_request(Percent(10)));
     assert_eq!(
-        (0..1000).filter(|_| budget.take(Percent(10))).count(),
-        BURST as usize
+        (0..1000).filter(|_| budget.try_take(Percent(10))).count(),
+        BURST_TOKENS as usize
     );
     assert!(
-        !Budget::default().take(Percent(0)),
+        !RetryBudget::default().try_take(Percent(0)),
         "a share of 0% forbids retries"
     );
 }
@@ -48,26 +50,41 @@
             allowed: 3,
             delivered,
         };
-        next(&progress, loss, &mut Budget::default(), Percent(10))
+        decide_retry(&progress, loss, &mut RetryBudget::default(), Percent(10))
     };
-    let again = |advance| Next::Again { advance };
+    let again = |advance| RetryDecision::Retry { advance };
     let cases = [
-        (true, 0, Loss::Lost, again(false)),
-        (true, 0, Loss::Corrupt, again(false)),
-        (true, 5, Loss::Lost, Next::Resume),
-        (true, 5, Loss::NotRun(NotRun::Leaving), Next::Resume),
+        (true, 0, AttemptFailure::Lost, again(false)),
+        (true, 0, AttemptFailure::Corrupt, again(false)),
+        (true, 5, AttemptFailure::Lost, RetryDecision::Resume),
+        (
+            true,
+            5,
+            AttemptFailure::NotRun(NotRun::Leaving),
+            RetryDecision::Resume,
+        ),
         // Delivered text may be wrong, so that a continuation would make a wrong answer whole.
-        (true, 5, Loss::Corrupt, Next::Stop),
-        (true, 0, Loss::Deadline, Next::Stop),
-        (false, 0, Loss::Lost, Next::Settle),
-        (false, 0, Loss::Corrupt, Next::Settle),
-        (false, 0, Loss::Unsent, again(false)),
-        (false, 0, Loss::NotRun(NotRun::Log), again(false)),
-        (false, 0, Loss::NotRun(NotRun::Void), again(true)),
-        (false, 0, Loss::NotRun(NotRun::Digest), Next::Stop),
-        (false, 0, Loss::NotRun(NotRun::Expired), Next::Stop),
-        (false, 0, Loss::InProgress, Next::Stop),
-        (false, 0, Loss::Deadline, Next::Stop),
+        (true, 5, AttemptFailure::Corrupt, RetryDecision::Stop),
+        (true, 0, AttemptFailure::Deadline, RetryDecision::Stop),
+        (false, 0, AttemptFailure::Lost, RetryDecision::Settle),
+        (false, 0, AttemptFailure::Corrupt, RetryDecision::Settle),
+        (false, 0, AttemptFailure::Unsent, again(false)),
+        (false, 0, AttemptFailure::NotRun(NotRun::Log), again(false)),
+        (false, 0, AttemptFailure::NotRun(NotRun::Void), again(true)),
+        (
+            false,
+            0,
+            AttemptFailure::NotRun(NotRun::Digest),
+            RetryDecision::Stop,
+        ),
+        (
+            false,
+            0,
+            AttemptFailure::NotRun(NotRun::Expired),
+            RetryDecision::Stop,
+        ),
+        (false, 0, AttemptFailure::InProgress, RetryDecision::Stop),
+        (false, 0, AttemptFailure::Deadline, RetryDecision::Stop),
     ];
     for (repeatable, delivered, loss, want) in cases {
         assert_eq!(
@@ -89,7 +106,10 @@
         assert_eq!((status, &body["outcome"]), (503, &"not_run".into()));
     }
     let extra = world.runs() - requests;
-    assert!(extra <= requests / 10 + BURST as usize, "{extra} retries");
+    assert!(
+        extra <= requests / 10 + BURST_TOKENS as usize,
+        "{extra} retries"
+    );
     assert_eq!(world.metric("sesamewing_retries_total"), extra as u64);
 }
 
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -7,7 +7,10 @@
     base::{Digest, Instance, Millis, Offset, ProcessName, VersionName},
     decide::{
         member::Distance,
-        route::{prefix_hash, Breaker, Guard, Query, Slot, Table, Target, FAILURES_MAX, OPEN_MIN},
+        route::{
+            prefix_hash, AgentView, Breaker, InFlightGuard, RouteQuery, RouteTable, Target,
+            FAILURES_MAX, OPEN_MIN,
+        },
     },
     settings::{Policy, Route, Weights},
     wire::{AgentReport, AgentState},
@@ -25,16 +28,16 @@
         version: version(),
         capacity: 8,
         seed: prefix_hash(&i.to_le_bytes()),
-        slot: Arc::default(),
+        view: Arc::default(),
     }
 }
 
-fn table(targets: Vec<Target>, policy: Policy) -> Table {
+fn table(targets: Vec<Target>, policy: Policy) -> RouteTable {
     let route = Route {
         policy,
         ..Route::default()
     };
-    Table::new(targets, &weights(false), &route)
+    RouteTable::new(targets, &weights(false), &route)
 }
 
 /// Settings that name version `v1`.
@@ -64,10 +67,10 @@
     }
 }
 
-fn query(tried: &[ProcessName], random: u64) -> Query<'_> {
-    Query {
+fn query(tried: &[ProcessName], random: u64) -> RouteQuery<'_> {
+    RouteQuery {
         now: Millis(1000),
-        only: None,
+        required_version: None,
         prefix: None,
         tried,
         random,
@@ -94,7 +97,7 @@
         ] {
             targets[..full]
                 .iter()
-                .for_each(|t| t.slot.learn(&report(100, Vec::new())));
+                .for_each(|t| t.view.apply_report(&report(100, Vec::new())));
             let table = table(targets.clone(), policy);
             for random in 0..50 {
                 let got = table.choose(&query(&[], random)).unwrap();
@@ -103,7 +106,7 @@
         }
         targets
             .iter()
-            .for_each(|t| t.slot.learn(&report(100, Vec::new())));
+            .for_each(|t| t.view.apply_report(&report(100, Vec::new())));
         let got = table(targets, policy);
         let got = got.choose(&query(&[], 1)).unwrap();
         assert!(
@@ -131,8 +134,8 @@
         }
         assert!(table.choose(&query(&tried, 1)).is_none(), "{policy}");
         assert!(table
-            .choose(&Query {
-                only: Some(&"v9".parse().unwrap()),
+            .choose(&RouteQuery {
+                required_version: Some(&"v9".parse().unwrap()),
                 ..query(&[], 1)
             })
             .is_none());
@@ -155,20 +158,20 @@
         t.version = Some(earlier.clone());
     }
     let route = Route::default();
-    let none = Table::new(targets.clone(), &weights(false), &route);
+    let none = RouteTable::new(targets.clone(), &weights(false), &route);
     assert!(none.choose(&query(&[], 1)).is_none());
-    let all_earlier = Table::new(targets.clone(), &weights(true), &route);
+    let all_earlier = RouteTable::new(targets.clone(), &weights(true), &route);
     assert_matches!(all_earlier.choose(&query(&[], 1)), Some(t) if t.version == Some(earlier.clone()));
     targets[0].version = version();
-    let mixed = Table::new(targets.clone(), &weights(true), &route);
-    let guards: Vec<Guard> = (0..8)
+    let mixed = RouteTable::new(targets.clone(), &weights(true), &route);
+    let guards: Vec<InFlightGuard> = (0..8)
         .map(|random| {
             let got = mixed.choose(&query(&[], random)).unwrap();
             assert_eq!(
                 got.name, targets[0].name,
                 "free capacity of the new version comes first"
             );
-            got.slot.begin(Millis(1000))
+            got.view.begin(Millis(1000))
         })
         .collect();
     let got = mixed.choose(&query(&[], 9)).unwrap();
@@ -178,8 +181,8 @@
         "the busy host is not overloaded"
     );
     drop(guards);
-    let resumed = Query {
-        only: Some(&earlier),
+    let resumed = RouteQuery {
+        required_version: Some(&earlier),
         ..query(&[], 1)
     };
     assert_eq!(mixed.choose(&resumed).unwrap().version, Some(earlier));
@@ -212,7 +215,7 @@
     let table = table(targets.clone(), Policy::Affinity);
     let prefix = prefix_hash(b"once upon a time");
     let choose = |random| {
-        let q = Query {
+        let q = RouteQuery {
             prefix: Some(prefix),
             ..query(&[], random)
         };
@@ -222,15 +225,15 @@
     assert!((1..100).all(|random| choose(random) == first));
     // A late report corrects the rendezvous choice.
     let holder = targets.iter().find(|t| t.name != first).unwrap();
-    holder.slot.learn(&report(0, vec![prefix]));
+    holder.view.apply_report(&report(0, vec![prefix]));
     assert_eq!(choose(0), holder.name);
-    let mut guards: Vec<Guard> = Vec::new();
+    let mut guards: Vec<InFlightGuard> = Vec::new();
     let mut most = 0;
     for random in 0..64 {
         let name = choose(random);
         let t = targets.iter().find(|t| t.name == name).unwrap();
-        guards.push(t.slot.begin(Millis(1)));
-        most = most.max(t.slot.inflight());
+        guards.push(t.view.begin(Millis(1)));
+        most = most.max(t.view.in_flight());
     }
     // The mean is 4; the slack of 25% allows 5, and one request may be on its way.
     assert!(most <= 6, "{most} of 64 at one agent");
@@ -244,7 +247,7 @@
     for _ in 0..FAILURES_MAX {
         assert!(b.allows(now));
         b.begin(now);
-        b.failure(now);
+        b.record_failure(now);
     }
     assert!(!b.allows(now));
     let later = now + OPEN_MIN;
@@ -253,16 +256,16 @@
         "the first request is the probe"
     );
     assert!(!b.allows(later), "only one probe at a time");
-    b.failure(later);
+    b.record_failure(later);
     assert!(
         !b.allows(later + OPEN_MIN),
         "a failed probe doubles the time"
     );
     let last = later + OPEN_MIN.times(2);
     assert!(b.begin(last));
-    b.release();
+    b.release_probe();
     assert!(b.begin(last), "a probe without a verdict is repeated");
-    b.success();
+    b.record_success();
     assert!(b.allows(last) && !b.begin(last));
 }
 
@@ -270,15 +273,15 @@
 #[test]
 fn open_breakers_are_avoided() {
     let targets: Vec<_> = (0..2).map(|i| target(i, Distance::Zone)).collect();
-    let guard = targets[0].slot.begin(Millis(1000));
-    (0..FAILURES_MAX).for_each(|_| guard.failure(Millis(1000)));
+    let guard = targets[0].view.begin(Millis(1000));
+    (0..FAILURES_MAX).for_each(|_| guard.record_failure(Millis(1000)));
     let table = table(targets.clone(), Policy::Random);
     for random in 0..50 {
         let got = table.choose(&query(&[], random)).unwrap();
         assert_eq!(got.name, targets[1].name);
     }
-    let other = targets[1].slot.begin(Millis(1000));
-    (0..FAILURES_MAX).for_each(|_| other.failure(Millis(1000)));
+    let other = targets[1].view.begin(Millis(1000));
+    (0..FAILURES_MAX).for_each(|_| other.record_failure(Millis(1000)));
     assert_matches!(table.choose(&query(&[], 1)), Some(_));
 }
 
@@ -290,12 +293,12 @@
     assert_eq!(table(targets.clone(), Policy::Choices).window(4), 40);
     let guards: Vec<_> = targets
         .iter()
-        .map(|t| [(); 3].map(|()| t.slot.begin(Millis(1))))
+        .map(|t| [(); 3].map(|()| t.view.begin(Millis(1))))
         .collect();
     let load = |n| {
         targets
             .iter()
-            .for_each(|t| t.slot.learn(&report(n, Vec::new())))
+            .for_each(|t| t.view.apply_report(&report(n, Vec::new())))
     };
     load(9);
     assert_eq!(table(targets.clone(), Policy::Choices).window(4), 16);
@@ -336,7 +339,7 @@
     let targets: Vec<Vec<Target>> = (0..ENTRIES)
         .map(|_| (0..ENGINES).map(|i| target(i, Distance::Zone)).collect())
         .collect();
-    let mut guards: Vec<(Millis, Guard)> = Vec::new();
+    let mut guards: Vec<(Millis, InFlightGuard)> = Vec::new();
     let (mut times, mut hits) = (Vec::new(), 0_u32);
     for ms in 0..30_000 {
         let now = Millis(ms);
@@ -348,7 +351,7 @@
                 let running = engine.running.len() as u32;
                 let mut report = report(running, std::mem::take(&mut engine.news));
                 report.sequence = ms;
-                targets.iter().for_each(|t| t[e].slot.learn(&report));
+                targets.iter().for_each(|t| t[e].view.apply_report(&report));
             }
         }
         // 110 requests a second; a request takes 0.7 s with its prefix cached and 1.1 s without.
@@ -357,9 +360,9 @@
             let prefix = (200.0_f64.powf(random.f64())) as u64;
             let entry = random.usize(0..ENTRIES);
             let table = table(targets[entry].clone(), policy);
-            let q = Query {
+            let q = RouteQuery {
                 now,
-                only: None,
+                required_version: None,
                 prefix: Some(prefix),
                 tried: &[],
                 random: random.u64(..),
@@ -387,7 +390,7 @@
             let start = ahead.map_or(now, |i| ends[i].max(now));
             let end = start + Millis(run);
             engine.running.push(end);
-            guards.push((end, targets[entry][e].slot.begin(now)));
+            guards.push((end, targets[entry][e].view.begin(now)));
             times.push((end - now).0);
         }
     }
@@ -428,9 +431,9 @@
 /// Guards against counts that drift when requests end.
 #[test]
 fn slots_count_down() {
-    let slot: Arc<Slot> = Arc::default();
+    let slot: Arc<AgentView> = Arc::default();
     let guards: Vec<_> = (0..5).map(|_| slot.begin(Millis(1))).collect();
-    assert_eq!(slot.inflight(), 5);
+    assert_eq!(slot.in_flight(), 5);
     drop(guards);
-    assert_eq!(slot.inflight(), 0);
+    assert_eq!(slot.in_flight(), 0);
 }
--- a/tests/share_pool.rs
+++ b/tests/share_pool.rs
@@ -2,7 +2,7 @@
 
 use sesamewing::{
     base::{Millis, ProcessName},
-    decide::limit::share::{Pool, Share},
+    decide::limit::share::{Share, SharePool},
 };
 
 const LIMIT: Share = Share {
@@ -20,14 +20,14 @@
 /// workspace until it reports again.
 #[test]
 fn later_entries_find_room() {
-    let mut pool = Pool::default();
+    let mut pool = SharePool::default();
     let demand = Share {
         concurrency: 2,
         rate: 2000,
     };
     let mut sum = Share::default();
     for entry in ["a", "b", "c"] {
-        let share = pool.ask(Millis(10), &name(entry), demand, LIMIT, LIFETIME, 3);
+        let share = pool.grant(Millis(10), &name(entry), demand, LIMIT, LIFETIME, 3);
         // At least the demand, and half of an equal share for growth.
         assert!(share.concurrency >= 10, "{entry}: {share:?}");
         assert!(share.rate >= 100_000, "{entry}: {share:?}");
@@ -41,7 +41,7 @@
 #[test]
 fn grants_stay_within_the_limit() {
     for entries in [1, 2, 3, 9] {
-        let mut pool = Pool::default();
+        let mut pool = SharePool::default();
         for round in 0..20_u64 {
             let mut sum = Share::default();
             for (i, entry) in ["a", "b", "c"].iter().enumerate() {
@@ -50,7 +50,7 @@
                     rate: (round * 70_000 + i as u64 * 110_000) % 900_000,
                 };
                 let now = Millis(round * 1000 + i as u64);
-                let share = pool.ask(now, &name(entry), demand, LIMIT, LIFETIME, entries);
+                let share = pool.grant(now, &name(entry), demand, LIMIT, LIFETIME, entries);
                 sum.concurrency += share.concurrency;
                 sum.rate += share.rate;
             }
