--- a/src/staging/agent.rs
+++ b/src/staging/agent.rs
@@ -11,8 +11,8 @@
 
 use super::{
     copy::{copy, version_id, CopyContext},
-    exchange::Client,
-    holdings::Holdings,
+    exchange::PeerClient,
+    inventory::ChunkInventory,
     load::Loader,
     log_event,
     peers::{Location, Peers},
@@ -27,10 +27,10 @@
 };
 
 /// Time after a failed call.
-pub(super) const RETRY: Millis = Millis(200);
+pub(super) const RETRY_DELAY: Millis = Millis(200);
 
 /// Share of the chunks from which a copy is completed although a newer version was named.
-const NEARLY: (u32, u32) = (3, 4);
+const FINISH_SHARE: (u32, u32) = (3, 4);
 
 /// A version of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,15 +49,15 @@
     clock: SystemClock,
     /// Keeps downloads within their share of the link.
     down_pacer: Rc<Pacer>,
-    pub(super) holdings: Rc<Holdings>,
-    client: Client,
+    pub(super) inventory: Rc<ChunkInventory>,
+    client: PeerClient,
     pub(super) peers: Rc<RefCell<Rc<Peers>>>,
     /// Own model and the origin, from the catalog.
     pub(super) model: RefCell<Option<Rc<str>>>,
     pub(super) origin_spec: RefCell<Option<OriginSpec>>,
-    pub(super) named: RefCell<HashMap<Rc<str>, Named>>,
+    pub(super) desired: RefCell<HashMap<Rc<str>, Named>>,
     /// When an entry last told the work, and when this agent started.
-    pub(super) told: Cell<Option<Millis>>,
+    pub(super) last_assigned: Cell<Option<Millis>>,
     /// Entries to tell of the endpoint.
     pub(super) readers: RefCell<Vec<SocketAddr>>,
     /// Address of the endpoint, from its record.
@@ -69,9 +69,9 @@
     /// Whether a copy is in progress.
     pub(super) copying: Cell<bool>,
     /// Manifest of a newer version that is copied next.
-    next: RefCell<Option<(Target, Manifest)>>,
+    next_manifest: RefCell<Option<(Target, Manifest)>>,
     /// Whether the last manifest was wrong, so that the next one comes from the origin.
-    doubted: Cell<bool>,
+    manifest_rejected: Cell<bool>,
     pub(super) loader: Loader,
     /// Wakes the main loop when the target or the endpoint changed.
     pub(super) changed: Notify,
@@ -86,11 +86,11 @@
         store: S,
         host: H,
         origin: O,
-        holdings: Rc<Holdings>,
+        inventory: Rc<ChunkInventory>,
         pacer: Rc<Pacer>,
     ) -> Self {
         let location = Location {
-            me: settings.exchange,
+            own_addr: settings.peer_addr,
             zone: settings.zone.clone(),
             regions: settings.regions.clone(),
             origin: None,
@@ -102,22 +102,22 @@
             host,
             origin,
             clock,
-            told: Cell::default(),
+            last_assigned: Cell::default(),
             readers: RefCell::default(),
             endpoint: Cell::default(),
             started: clock.now(),
             down_pacer: pacer,
-            holdings,
-            client: Client::new(),
+            inventory,
+            client: PeerClient::new(),
             peers: Rc::new(RefCell::new(Rc::new(peers))),
             model: RefCell::default(),
             origin_spec: RefCell::default(),
-            named: RefCell::default(),
+            desired: RefCell::default(),
             report: RefCell::default(),
             last_born: Cell::default(),
             copying: Cell::default(),
-            next: RefCell::default(),
-            doubted: Cell::default(),
+            next_manifest: RefCell::default(),
+            manifest_rejected: Cell::default(),
             loader: Loader::default(),
             changed: Notify::new(),
             state_changed: Notify::new(),
@@ -131,7 +131,7 @@
     }
 
     /// Reads the endpoint's report.
-    pub(super) async fn look(&self) {
+    pub(super) async fn poll_report(&self) {
         let report = match self.host.report().await {
             Ok(report) => Some(report),
             Err(e) => {
@@ -156,7 +156,7 @@
         let restarted = known.is_some() && born(&report).is_some_and(|b| Some(b) != known);
         self.last_born.set(born(&report).or(known));
         if restarted {
-            self.holdings.clear();
+            self.inventory.clear();
             self.loader.reset();
         }
         self.changed.notify_one();
@@ -174,20 +174,20 @@
 
     fn target(&self) -> Option<Target> {
         let model = self.model.borrow().clone()?;
-        let named = self.named.borrow();
-        let version = named.get(&model).and_then(Named::newest);
+        let desired = self.desired.borrow();
+        let version = desired.get(&model).and_then(Named::newest);
         Some(Target { model, version })
     }
 
     /// Waits until the target is another one, or the endpoint restarts. A newer version waits until one that is nearly
     /// complete is copied, and until its manifest is known: while the origin is away, the older copy goes on.
-    async fn superseded(&self, target: &Target) {
+    async fn wait_superseded(&self, target: &Target) {
         let born = self.born();
         loop {
             self.changed.notified().await;
             let next = self.target().filter(|t| t != target);
-            let newer = match next.filter(|_| !self.is_nearly_copied()) {
-                Some(next) => self.is_obtainable(&next).await,
+            let newer = match next.filter(|_| !self.is_nearly_complete()) {
+                Some(next) => self.is_available(&next).await,
                 None => false,
             };
             let restarted = born.is_some() && self.born() != born;
@@ -200,23 +200,23 @@
     }
 
     /// Returns whether the manifest of a target can be had; tries again later if not.
-    async fn is_obtainable(&self, target: &Target) -> bool {
+    async fn is_available(&self, target: &Target) -> bool {
         if !self.copying.get() || target.version.is_none() {
             return true;
         }
         let Some(manifest) = self.manifest(target).await else {
-            tokio::time::sleep(jitter(RETRY).duration()).await;
+            tokio::time::sleep(jitter(RETRY_DELAY).duration()).await;
             self.changed.notify_one();
             return false;
         };
-        *self.next.borrow_mut() = Some((target.clone(), manifest));
+        *self.next_manifest.borrow_mut() = Some((target.clone(), manifest));
         true
     }
 
     /// Returns whether most of the present version is copied.
-    fn is_nearly_copied(&self) -> bool {
-        let (held, chunks) = self.holdings.progress();
-        self.copying.get() && held * NEARLY.1 >= chunks * NEARLY.0
+    fn is_nearly_complete(&self) -> bool {
+        let (held, chunks) = self.inventory.progress();
+        self.copying.get() && held * FINISH_SHARE.1 >= chunks * FINISH_SHARE.0
     }
 
     fn born(&self) -> Option<u64> {
@@ -224,37 +224,37 @@
     }
 
     /// Brings the endpoint to the target, or waits for a change.
-    pub(super) async fn step(self: &Rc<Self>) {
+    pub(super) async fn reconcile(self: &Rc<Self>) {
         let begins = self.report.borrow().is_some() || self.settings.prefetch;
         let Some(target) = self.target().filter(|_| begins) else {
             self.changed.notified().await;
             return;
         };
         tokio::select! {
-            () = self.bring(&target) => {}
-            () = self.superseded(&target) => {
+            () = self.copy_and_load(&target) => {}
+            () = self.wait_superseded(&target) => {
                 emit!(log_event::COPY, "model={} state=superseded", target.model);
             }
         }
         self.copying.set(false);
     }
 
-    async fn bring(self: &Rc<Self>, target: &Target) {
+    async fn copy_and_load(self: &Rc<Self>, target: &Target) {
         self.copying.set(true);
         self.read_peers().await;
         let Some(manifest) = self.manifest(target).await else {
-            tokio::time::sleep(jitter(RETRY).duration()).await;
+            tokio::time::sleep(jitter(RETRY_DELAY).duration()).await;
             return;
         };
         let manifest = Rc::new(manifest);
-        let waiting = self.loader.occupied.get();
-        self.holdings.begin(&target.model, &manifest, waiting);
+        let waiting = self.loader.staging_reserved.get();
+        self.inventory.begin(&target.model, &manifest, waiting);
         if !self.copy_missing(target, &manifest).await {
             return;
         }
         self.copying.set(false);
         let is_loaded = || self.loaded().is_some_and(|v| v >= manifest.version);
-        if is_loaded() || self.load_in_turn(&target.model, &manifest).await {
+        if is_loaded() || self.load_scheduled(&target.model, &manifest).await {
             // Nothing to do before the next change.
             std::future::pending::<()>().await;
         }
@@ -264,7 +264,7 @@
     async fn copy_missing(&self, target: &Target, manifest: &Rc<Manifest>) -> bool {
         let begun = self.now();
         let (model, version) = (&target.model, manifest.version);
-        let kept = self.check(model, manifest).await;
+        let kept = self.verify(model, manifest).await;
         let chunks = manifest.digests.len();
         emit!(
             log_event::COPY,
@@ -278,8 +278,8 @@
                 log_event::COPY,
                 "model={model} version={version} state=restarted reason=\"{e}\""
             );
-            self.holdings.clear();
-            self.doubted.set(true);
+            self.inventory.clear();
+            self.manifest_rejected.set(true);
             return false;
         }
         emit!(
@@ -296,10 +296,10 @@
             origin: self.origin.clone(),
             origin_addr: self.origin_spec.borrow().as_ref().map(|o| o.addr),
             client: self.client.clone(),
-            holdings: self.holdings.clone(),
-            occupied: self.loader.occupied.clone(),
+            inventory: self.inventory.clone(),
+            staging_reserved: self.loader.staging_reserved.clone(),
             peers: self.peers.clone(),
-            down: self.settings.link,
+            down: self.settings.link_rate,
             pacer: self.loaded().map(|_| self.down_pacer.clone()),
             clock: self.clock,
             model: target.model.clone(),
@@ -308,15 +308,17 @@
     }
 
     async fn manifest(&self, target: &Target) -> Option<Manifest> {
-        let version = target.version.filter(|_| !self.doubted.replace(false));
-        if let Some((_, manifest)) = self.next.take().filter(|n| n.0 == *target) {
+        let version = target
+            .version
+            .filter(|_| !self.manifest_rejected.replace(false));
+        if let Some((_, manifest)) = self.next_manifest.take().filter(|n| n.0 == *target) {
             return Some(manifest);
         }
         if let Some(version) = version {
-            if let Some(known) = self.holdings.manifest(&target.model, version) {
+            if let Some(known) = self.inventory.manifest(&target.model, version) {
                 return Some((*known).clone());
             }
-            if let Some(told) = self.told_manifest(&target.model, version).await {
+            if let Some(told) = self.peer_manifest(&target.model, version).await {
                 return Some(told);
             }
         }
@@ -335,7 +337,7 @@
     }
 
     /// Asks other hosts for a manifest, so that few ask the origin.
-    async fn told_manifest(&self, model: &str, version: WeightVersion) -> Option<Manifest> {
+    async fn peer_manifest(&self, model: &str, version: WeightVersion) -> Option<Manifest> {
         let id = version_id(model, version);
         let sources = self.peers.borrow().manifest_sources(&id);
         for addr in sources {
--- a/src/staging/work.rs
+++ b/src/staging/assignment.rs
@@ -18,7 +18,7 @@
 };
 
 /// Time without news from any entry after which the store is read instead.
-const FORGOTTEN: Millis = Millis(2500);
+const ASSIGNMENT_TIMEOUT: Millis = Millis(2500);
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
     /// Takes a configuration from the store.
@@ -33,11 +33,11 @@
     }
 
     /// Notes a named version; `found` says that it was named before this agent started.
-    pub(super) fn name_version(&self, model: Rc<str>, version: WeightVersion, found: bool) {
+    pub(super) fn add_desired(&self, model: Rc<str>, version: WeightVersion, found: bool) {
         let now = self.now();
         let newer = {
-            let mut named = self.named.borrow_mut();
-            let versions = named.entry(model.clone()).or_default();
+            let mut desired = self.desired.borrow_mut();
+            let versions = desired.entry(model.clone()).or_default();
             versions.note(version, found, now)
         };
         emit!(
@@ -51,24 +51,24 @@
 
     /// Notes that an entry answers, and which entries read the store.
     pub(super) fn set_readers(&self, readers: &[SocketAddr]) {
-        self.told.set(Some(self.now()));
+        self.last_assigned.set(Some(self.now()));
         *self.readers.borrow_mut() = readers.to_vec();
     }
 
     /// Takes what an entry tells.
-    pub(super) fn assign(&self, told: &Assignment) {
+    pub(super) fn assign(&self, assignment: &Assignment) {
         let now = self.now();
-        *self.origin_spec.borrow_mut() = told.origin.clone();
-        self.set_hosts(&told.hosts);
-        let Some(model) = &told.model else {
+        *self.origin_spec.borrow_mut() = assignment.origin.clone();
+        self.set_hosts(&assignment.hosts);
+        let Some(model) = &assignment.model else {
             return;
         };
         if self.model.replace(Some(model.clone())).as_ref() != Some(model) {
             self.changed.notify_one();
         }
-        for n in &told.named {
-            let mut named = self.named.borrow_mut();
-            let versions = named.entry(model.clone()).or_default();
+        for n in &assignment.named {
+            let mut desired = self.desired.borrow_mut();
+            let versions = desired.entry(model.clone()).or_default();
             let before = versions.newest();
             if versions.learn(n.version, now - n.age) {
                 let (version, age) = (n.version, n.age);
@@ -81,29 +81,29 @@
                 self.changed.notify_one();
             }
         }
-        let known = self.named.borrow().get(model).and_then(Named::newest);
-        if let Some(newest) = told.newest.filter(|n| known < Some(*n)) {
-            self.name_version(model.clone(), newest, true);
+        let known = self.desired.borrow().get(model).and_then(Named::newest);
+        if let Some(newest) = assignment.newest.filter(|n| known < Some(*n)) {
+            self.add_desired(model.clone(), newest, true);
         }
     }
 
     /// Returns whether no entry told anything for a while, so that the store has to be read.
-    pub(super) fn is_forgotten(&self) -> bool {
-        let told = self.told.get().unwrap_or(self.started);
-        self.now() > told + FORGOTTEN
+    pub(super) fn is_assignment_stale(&self) -> bool {
+        let last = self.last_assigned.get().unwrap_or(self.started);
+        self.now() > last + ASSIGNMENT_TIMEOUT
     }
 
     fn set_hosts(&self, hosts: &[(SocketAddr, Zone)]) {
         let origin = self.origin_spec.borrow();
         let location = Location {
-            me: self.settings.exchange,
+            own_addr: self.settings.peer_addr,
             zone: self.settings.zone.clone(),
             regions: self.settings.regions.clone(),
             origin: origin.as_ref().and_then(|o| o.zone.clone()),
         };
         let peers = Peers::new(&location, hosts);
         let same = |a: &Topology, b: &Topology| a.members() == b.members();
-        let own = |h: &&(SocketAddr, Zone)| h.0.ip() == self.settings.exchange.ip();
+        let own = |h: &&(SocketAddr, Zone)| h.0.ip() == self.settings.peer_addr.ip();
         self.endpoint.set(hosts.iter().find(own).map(|h| h.0));
         let changed = !same(&peers.topology, &self.peers.borrow().topology);
         if changed {
@@ -113,7 +113,7 @@
 
     /// Reads the hosts of the service from the store, if no entry tells them.
     pub(super) async fn read_peers(&self) {
-        if !self.is_forgotten() {
+        if !self.is_assignment_stale() {
             return;
         }
         let records = match self.store.newest(Topic::Endpoints).await {
@@ -131,19 +131,19 @@
     }
 
     /// Returns what entries should know of the endpoint, and the entries to tell.
-    pub(super) fn news(&self) -> Option<(EndpointNews, Vec<SocketAddr>)> {
+    pub(super) fn endpoint_update(&self) -> Option<(EndpointNews, Vec<SocketAddr>)> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
-        let taken = self.loader.ordered.get();
-        let news = EndpointNews {
+        let loading = self.loader.loading.get();
+        let update = EndpointNews {
             addr: self.endpoint.get()?,
             born: report.born,
-            models: if taken {
+            models: if loading {
                 Vec::new()
             } else {
                 report.models.clone()
             },
         };
-        Some((news, self.readers.borrow().clone()))
+        Some((update, self.readers.borrow().clone()))
     }
 }
--- a/src/staging/copy.rs
+++ b/src/staging/copy.rs
@@ -13,8 +13,8 @@
 };
 
 use super::{
-    exchange::Client,
-    holdings::{is_intact, Holdings},
+    exchange::PeerClient,
+    inventory::{is_intact, ChunkInventory},
     log_event,
     peers::Peers,
     EndpointHost, Manifest, Origin,
@@ -30,10 +30,10 @@
 };
 
 /// Time without progress after which another host takes over a chunk; links carry one in a few tens of milliseconds.
-const STALL: Millis = Millis(900);
+const STALL_TIMEOUT: Millis = Millis(900);
 
 /// Longest time that leaders wait at the start for reports of their neighbours.
-const GRACE: Millis = Millis(150);
+const START_GRACE: Millis = Millis(150);
 
 /// Time for which a failed source is not asked again; doubles up to the longest. Short, because the bound on old versions
 /// runs on while the origin is away.
@@ -42,7 +42,7 @@
 
 /// Chunks that leaders of all hosts fetch from the origin at once. All share its link, and connections to it time out
 /// behind a long queue of chunks.
-const WINDOW: usize = 10;
+const ORIGIN_WINDOW: usize = 10;
 
 /// Times that a chunk may arrive with another digest before the manifest is taken to be wrong.
 const CORRUPT_MAX: u32 = 2;
@@ -60,10 +60,10 @@
     pub(super) host: H,
     pub(super) origin: O,
     pub(super) origin_addr: Option<SocketAddr>,
-    pub(super) client: Client,
-    pub(super) holdings: Rc<Holdings>,
+    pub(super) client: PeerClient,
+    pub(super) inventory: Rc<ChunkInventory>,
     /// Whether the endpoint still keeps another version for its load, so that chunks are kept in memory.
-    pub(super) occupied: Rc<Cell<bool>>,
+    pub(super) staging_reserved: Rc<Cell<bool>>,
     pub(super) peers: Rc<RefCell<Rc<Peers>>>,
     pub(super) down: Rate,
     /// Leaves a share of the link to the endpoint; `None` if it serves nothing yet.
@@ -97,11 +97,11 @@
     let manifest = ctx.manifest.clone();
     let peers = ctx.peers.borrow().clone();
     let mut config = Config::new(Prefer::Origin, manifest.chunk, ctx.down);
-    config.stall = STALL;
-    config.grace = GRACE;
+    config.stall = STALL_TIMEOUT;
+    config.grace = START_GRACE;
     config.backoff = BACKOFF;
     config.backoff_max = BACKOFF_MAX;
-    config.window = WINDOW;
+    config.window = ORIGIN_WINDOW;
     let mut scheduler = Scheduler::new(
         config,
         version_id(&ctx.model, manifest.version),
@@ -109,7 +109,7 @@
         peers.topology.clone(),
         fastrand::u64(..),
     );
-    for chunk in ctx.holdings.held(&ctx.model, manifest.version) {
+    for chunk in ctx.inventory.held(&ctx.model, manifest.version) {
         scheduler.handle(ctx.clock.now(), Event::Held(chunk));
     }
     let copy = Copy {
@@ -173,7 +173,7 @@
         let (chunk, from, now) = (done.chunk, done.from, self.now());
         let (model, version) = (&self.ctx.model, self.ctx.manifest.version);
         let Err(fault) = done.result else {
-            self.ctx.holdings.insert(model, version, chunk);
+            self.ctx.inventory.insert(model, version, chunk);
             scheduler.handle(now, Event::Arrived(chunk, from));
             return Ok(());
         };
@@ -231,14 +231,14 @@
             data
         }
     };
-    if ctx.occupied.get() {
-        ctx.holdings.keep(&ctx.model, version, chunk, data);
+    if ctx.staging_reserved.get() {
+        ctx.inventory.buffer(&ctx.model, version, chunk, data);
         return Ok(());
     }
     if let Err(e) = ctx.host.stage(&ctx.model, chunk, data.clone()).await {
         // The endpoint may not be up yet.
         log::debug!("chunk {chunk} cannot be staged yet: {e}");
-        ctx.holdings.keep(&ctx.model, version, chunk, data);
+        ctx.inventory.buffer(&ctx.model, version, chunk, data);
     }
     Ok(())
 }
--- a/src/staging/entries.rs
+++ b/src/staging/entries.rs
@@ -13,60 +13,60 @@
 };
 
 /// Time for an answer beyond the wait that is asked for.
-const ANSWER: Millis = Millis(500);
+const RESPONSE_TIMEOUT: Millis = Millis(500);
 
 /// Time after a question that failed, and after a failed read of the announcements.
-const RETRY: Millis = Millis(60);
-const STORE_RETRY: Millis = Millis(600);
+const RETRY_DELAY: Millis = Millis(60);
+const STORE_RETRY_DELAY: Millis = Millis(600);
 
-/// Entries to ask, and what the last one told.
-struct Source {
+/// Entries to ask, and what the last one assignment.
+struct AssignmentSource {
     pool: Pool,
     clock: SystemClock,
     entries: Vec<SocketAddr>,
     /// The one that answered the last question.
-    answering: Option<SocketAddr>,
+    current: Option<SocketAddr>,
     tag: u64,
 }
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
     /// Asks entries for ever, one at a time.
-    pub(super) async fn follow_entries(self: Rc<Self>) {
-        let mut source = Source {
+    pub(super) async fn poll_assignments(self: Rc<Self>) {
+        let mut source = AssignmentSource {
             pool: Pool::default(),
             clock: SystemClock::start(),
             entries: Vec::new(),
-            answering: None,
+            current: None,
             tag: 0,
         };
         let zone = &self.settings.zone;
         loop {
             let Some(&entry) = source.entries.last() else {
-                source.entries = announced(&self.store, zone.as_str()).await;
+                source.entries = announced_entries(&self.store, zone.as_str()).await;
                 if source.entries.is_empty() {
-                    tokio::time::sleep(jitter(STORE_RETRY).duration()).await;
+                    tokio::time::sleep(jitter(STORE_RETRY_DELAY).duration()).await;
                 }
                 continue;
             };
             let service = &self.settings.service;
             let path = format!("{ASSIGNMENT_PATH}{service}/{zone}/{}", source.tag);
-            let Some(told) = source.ask(entry, &path).await else {
+            let Some(assignment) = source.request(entry, &path).await else {
                 emit!(log_event::ENTRY, "entry={entry} answers=false");
-                source.answering = None;
+                source.current = None;
                 source.entries.pop();
-                tokio::time::sleep(jitter(RETRY).duration()).await;
+                tokio::time::sleep(jitter(RETRY_DELAY).duration()).await;
                 continue;
             };
-            if source.answering.replace(entry) != Some(entry) {
+            if source.current.replace(entry) != Some(entry) {
                 emit!(log_event::ENTRY, "entry={entry} answers=true");
             }
-            self.set_readers(&told.readers);
-            if told.tag != source.tag {
-                self.assign(&told);
+            self.set_readers(&assignment.readers);
+            if assignment.tag != source.tag {
+                self.assign(&assignment);
             }
-            source.tag = told.tag;
-            if !told.entries.is_empty() {
-                source.entries = told.entries;
+            source.tag = assignment.tag;
+            if !assignment.entries.is_empty() {
+                source.entries = assignment.entries;
                 // The one that answers is asked again.
                 source.entries.retain(|e| *e != entry);
                 source.entries.push(entry);
@@ -75,9 +75,9 @@
     }
 }
 
-impl Source {
-    async fn ask(&self, entry: SocketAddr, path: &str) -> Option<Assignment> {
-        let limit = ASSIGNMENT_WAIT + ANSWER;
+impl AssignmentSource {
+    async fn request(&self, entry: SocketAddr, path: &str) -> Option<Assignment> {
+        let limit = ASSIGNMENT_WAIT + RESPONSE_TIMEOUT;
         match get(&self.pool, entry, path, self.clock.now(), limit).await {
             Ok(res) if res.status() == StatusCode::OK => postcard::from_bytes(res.body()).ok(),
             Ok(res) => {
@@ -93,7 +93,7 @@
 }
 
 /// Reads which entries announced themselves; those of the zone come last and are asked first.
-async fn announced<S: RecordStore>(store: &S, zone: &str) -> Vec<SocketAddr> {
+async fn announced_entries<S: RecordStore>(store: &S, zone: &str) -> Vec<SocketAddr> {
     let records = match store.newest(Topic::Entries).await {
         Ok(records) => records.records,
         Err(e) => {
--- a/src/staging/exchange.rs
+++ b/src/staging/exchange.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::{body::Incoming, Request, Response, StatusCode};
 
-use super::{holdings::is_intact, holdings::Holdings, log_event, EndpointHost, Manifest};
+use super::{inventory::is_intact, inventory::ChunkInventory, log_event, EndpointHost, Manifest};
 use crate::{
     base::{Clock, Digest, Millis, Percent, SystemClock},
     decide::chunk::Fault,
@@ -24,29 +24,29 @@
 pub(super) const LINK_SHARE: Percent = Percent(88);
 
 /// Longest time for which a question for news waits.
-const NEWS_WAIT: Millis = Millis(500);
+const LONG_POLL: Millis = Millis(500);
 
 /// Time in which further news is collected before an answer.
-const NEWS_DELAY: Millis = Millis(15);
+const BATCH_DELAY: Millis = Millis(15);
 
 /// Time for an answer beyond the wait for news.
-const ANSWER: Millis = Millis(700);
+const RESPONSE_TIMEOUT: Millis = Millis(700);
 
 /// Longest time of a chunk's transfer.
-const TRANSFER: Millis = Millis(2500);
+const TRANSFER_TIMEOUT: Millis = Millis(2500);
 
 /// Serves other hosts.
 #[derive(Clone, Debug)]
-pub(super) struct Exchange<H> {
+pub(super) struct ChunkServer<H> {
     pub(super) host: H,
-    pub(super) holdings: Rc<Holdings>,
+    pub(super) inventory: Rc<ChunkInventory>,
     pub(super) uploads: Rc<Cell<u32>>,
     /// Keeps uploads within their share of the link.
     pub(super) pacer: Rc<Pacer>,
 }
 
 /// What another host asks for.
-enum Question<'a> {
+enum PeerRequest<'a> {
     /// Chunks after a position of the arrival order.
     Have(&'a str, WeightVersion, usize),
     /// A chunk.
@@ -55,18 +55,18 @@
     Manifest(&'a str, WeightVersion),
 }
 
-fn parse(path: &str) -> Option<Question<'_>> {
+fn parse(path: &str) -> Option<PeerRequest<'_>> {
     let mut parts = path.strip_prefix('/')?.split('/');
     let kind = parts.next()?;
     let model = parts.next()?;
     let version = WeightVersion(parts.next()?.parse().ok()?);
     if kind == "manifest" {
-        return Some(Question::Manifest(model, version));
+        return Some(PeerRequest::Manifest(model, version));
     }
     let number = parts.next()?;
     match kind {
-        "have" => Some(Question::Have(model, version, number.parse().ok()?)),
-        "chunk" => Some(Question::Chunk(model, version, number.parse().ok()?)),
+        "have" => Some(PeerRequest::Have(model, version, number.parse().ok()?)),
+        "chunk" => Some(PeerRequest::Chunk(model, version, number.parse().ok()?)),
         _ => None,
     }
 }
@@ -77,13 +77,15 @@
     res
 }
 
-impl<H: EndpointHost> Exchange<H> {
+impl<H: EndpointHost> ChunkServer<H> {
     /// Answers another host.
     pub(super) async fn answer(self, req: Request<Incoming>) -> Response<Full<Bytes>> {
         match parse(req.uri().path()) {
-            Some(Question::Have(model, version, from)) => self.have(model, version, from).await,
-            Some(Question::Chunk(model, version, chunk)) => self.chunk(model, version, chunk).await,
-            Some(Question::Manifest(model, version)) => self.manifest(model, version).await,
+            Some(PeerRequest::Have(model, version, from)) => self.have(model, version, from).await,
+            Some(PeerRequest::Chunk(model, version, chunk)) => {
+                self.chunk(model, version, chunk).await
+            }
+            Some(PeerRequest::Manifest(model, version)) => self.manifest(model, version).await,
             None => respond(StatusCode::NOT_FOUND, Bytes::new()),
         }
     }
@@ -92,14 +94,14 @@
     async fn manifest(&self, model: &str, version: WeightVersion) -> Response<Full<Bytes>> {
         let wait = async {
             loop {
-                let news = self.holdings.changed();
-                if let Some(manifest) = self.holdings.manifest(model, version) {
+                let news = self.inventory.changed();
+                if let Some(manifest) = self.inventory.manifest(model, version) {
                     return postcard::to_stdvec(&*manifest).ok();
                 }
                 news.await;
             }
         };
-        match tokio::time::timeout(NEWS_WAIT.duration(), wait).await {
+        match tokio::time::timeout(LONG_POLL.duration(), wait).await {
             Ok(Some(data)) => respond(StatusCode::OK, data.into()),
             _ => respond(StatusCode::NOT_FOUND, Bytes::new()),
         }
@@ -112,17 +114,17 @@
         from: usize,
     ) -> Response<Full<Bytes>> {
         let news = || {
-            self.holdings
-                .since(model, version, from)
+            self.inventory
+                .arrived_since(model, version, from)
                 .unwrap_or_default()
         };
         if news().is_empty() {
-            let wait = NEWS_WAIT.duration();
-            if tokio::time::timeout(wait, self.holdings.changed())
+            let wait = LONG_POLL.duration();
+            if tokio::time::timeout(wait, self.inventory.changed())
                 .await
                 .is_ok()
             {
-                tokio::time::sleep(NEWS_DELAY.duration()).await;
+                tokio::time::sleep(BATCH_DELAY.duration()).await;
             }
         }
         match postcard::to_stdvec(&news()) {
@@ -140,15 +142,15 @@
         version: WeightVersion,
         chunk: u32,
     ) -> Response<Full<Bytes>> {
-        let Some(digest) = self.holdings.digest(model, version, chunk) else {
+        let Some(digest) = self.inventory.digest(model, version, chunk) else {
             return respond(StatusCode::NOT_FOUND, Bytes::new());
         };
         if self.uploads.get() >= UPLOADS_MAX {
             return respond(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
         }
-        let _upload = Upload::begin(&self.uploads);
-        self.pacer.acquire(self.holdings.chunk_size()).await;
-        if let Some(data) = self.holdings.kept(model, version, chunk) {
+        let _upload = UploadGuard::begin(&self.uploads);
+        self.pacer.acquire(self.inventory.chunk_size()).await;
+        if let Some(data) = self.inventory.buffered(model, version, chunk) {
             return respond(StatusCode::OK, data);
         }
         match self.host.read(model, chunk).await {
@@ -158,7 +160,7 @@
                     log_event::CHUNK,
                     "model={model} version={version} chunk={chunk} outcome=spoilt"
                 );
-                self.holdings.remove(model, version, chunk);
+                self.inventory.remove(model, version, chunk);
                 respond(StatusCode::NOT_FOUND, Bytes::new())
             }
             Err(e) => {
@@ -170,29 +172,29 @@
 }
 
 /// Counts an upload.
-struct Upload(Rc<Cell<u32>>);
+struct UploadGuard(Rc<Cell<u32>>);
 
-impl Upload {
+impl UploadGuard {
     fn begin(count: &Rc<Cell<u32>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Upload {
+impl Drop for UploadGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Client of other hosts' exchanges.
+/// PeerClient of other hosts' exchanges.
 #[derive(Clone, Debug)]
-pub(super) struct Client {
+pub(super) struct PeerClient {
     pool: Pool,
     clock: SystemClock,
 }
 
-impl Client {
+impl PeerClient {
     pub(super) fn new() -> Self {
         Self {
             pool: Pool::default(),
@@ -218,7 +220,7 @@
         from: usize,
     ) -> Option<Vec<u32>> {
         let path = format!("/have/{model}/{version}/{from}");
-        let limit = NEWS_WAIT + NEWS_DELAY + ANSWER;
+        let limit = LONG_POLL + BATCH_DELAY + RESPONSE_TIMEOUT;
         match self.get(addr, path, limit).await {
             Ok(res) if res.status() == StatusCode::OK => postcard::from_bytes(res.body()).ok(),
             Ok(res) => {
@@ -240,7 +242,7 @@
         version: WeightVersion,
     ) -> Option<Manifest> {
         let path = format!("/manifest/{model}/{version}");
-        match self.get(addr, path, NEWS_WAIT + ANSWER).await {
+        match self.get(addr, path, LONG_POLL + RESPONSE_TIMEOUT).await {
             Ok(res) if res.status() == StatusCode::OK => postcard::from_bytes(res.body()).ok(),
             Ok(_) => None,
             Err(e) => {
@@ -260,7 +262,7 @@
         digest: &Digest,
     ) -> Result<Bytes, Fault> {
         let path = format!("/chunk/{model}/{version}/{chunk}");
-        match self.get(addr, path, TRANSFER).await {
+        match self.get(addr, path, TRANSFER_TIMEOUT).await {
             Ok(res) if res.status() == StatusCode::SERVICE_UNAVAILABLE => Err(Fault::Busy),
             Ok(res) if res.status() != StatusCode::OK => Err(Fault::Missing),
             Ok(res) if is_intact(res.body(), digest) => Ok(res.into_body()),
--- a/src/staging/host.rs
+++ b/src/staging/host.rs
@@ -37,7 +37,7 @@
 
 /// Answer to an order to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoadAnswer {
+pub enum LoadResponse {
     /// The endpoint drains its requests and then loads.
     Begun,
     /// The version is loaded, or its load is in progress.
@@ -94,7 +94,7 @@
         &self,
         model: &str,
         version: WeightVersion,
-    ) -> impl Future<Output = Result<LoadAnswer, HostError>>;
+    ) -> impl Future<Output = Result<LoadResponse, HostError>>;
 }
 
 /// What a version consists of.
--- a/src/staging/holdings.rs
+++ b/src/staging/inventory.rs
@@ -27,19 +27,19 @@
     /// Chunks in the order in which they arrived; chunks that were lost later stay in it.
     log: Vec<u32>,
     /// Content of chunks that are not staged at the endpoint.
-    memory: HashMap<u32, Bytes>,
+    buffered: HashMap<u32, Bytes>,
 }
 
 /// Chunks that other hosts may copy from here.
 #[derive(Debug, Default)]
-pub(super) struct Holdings {
+pub(super) struct ChunkInventory {
     current: RefCell<Option<Current>>,
     /// The version before, while it is staged at the endpoint and waits for its load.
     previous: RefCell<Option<Current>>,
-    news: Notify,
+    changes: Notify,
 }
 
-impl Holdings {
+impl ChunkInventory {
     /// Starts a version without chunks, unless it is the present one; `waiting` says that the endpoint keeps the one
     /// before until it is loaded.
     pub(super) fn begin(&self, model: &Rc<str>, manifest: &Rc<Manifest>, waiting: bool) {
@@ -54,23 +54,23 @@
             held: Bitmap::new(manifest.digests.len() as u32),
             manifest: manifest.clone(),
             log: Vec::new(),
-            memory: HashMap::default(),
+            buffered: HashMap::default(),
         };
         let old = current.replace(new);
-        if let Some(old) = old.filter(|old| waiting && old.memory.is_empty()) {
+        if let Some(old) = old.filter(|old| waiting && old.buffered.is_empty()) {
             *self.previous.borrow_mut() = Some(old);
         }
-        self.news.notify_waiters();
+        self.changes.notify_waiters();
     }
 
     /// Forgets all chunks, because the endpoint may have lost them.
     pub(super) fn clear(&self) {
         *self.current.borrow_mut() = None;
-        self.forget_previous();
-        self.news.notify_waiters();
+        self.drop_previous();
+        self.changes.notify_waiters();
     }
 
-    fn with<T>(
+    fn with_version<T>(
         &self,
         model: &str,
         version: WeightVersion,
@@ -84,18 +84,23 @@
     }
 
     /// Forgets the version before, because its chunks at the endpoint are about to be replaced.
-    pub(super) fn forget_previous(&self) {
+    pub(super) fn drop_previous(&self) {
         *self.previous.borrow_mut() = None;
     }
 
     /// Notes a checked chunk and keeps its content until it can be staged.
-    pub(super) fn keep(&self, model: &str, version: WeightVersion, chunk: u32, data: Bytes) {
-        self.with(model, version, |c| c.memory.insert(chunk, data));
+    pub(super) fn buffer(&self, model: &str, version: WeightVersion, chunk: u32, data: Bytes) {
+        self.with_version(model, version, |c| c.buffered.insert(chunk, data));
     }
 
     /// Returns the content of a chunk that is not staged.
-    pub(super) fn kept(&self, model: &str, version: WeightVersion, chunk: u32) -> Option<Bytes> {
-        self.with(model, version, |c| c.memory.get(&chunk).cloned())?
+    pub(super) fn buffered(
+        &self,
+        model: &str,
+        version: WeightVersion,
+        chunk: u32,
+    ) -> Option<Bytes> {
+        self.with_version(model, version, |c| c.buffered.get(&chunk).cloned())?
     }
 
     /// Returns a chunk that is kept here until it is staged.
@@ -104,19 +109,19 @@
         model: &str,
         version: WeightVersion,
     ) -> Option<(u32, Bytes)> {
-        self.with(model, version, |c| {
-            c.memory.iter().next().map(|(n, data)| (*n, data.clone()))
+        self.with_version(model, version, |c| {
+            c.buffered.iter().next().map(|(n, data)| (*n, data.clone()))
         })?
     }
 
     /// Notes that a chunk is staged.
     pub(super) fn set_staged(&self, model: &str, version: WeightVersion, chunk: u32) {
-        self.with(model, version, |c| c.memory.remove(&chunk));
+        self.with_version(model, version, |c| c.buffered.remove(&chunk));
     }
 
     /// Notes a checked chunk.
     pub(super) fn insert(&self, model: &str, version: WeightVersion, chunk: u32) {
-        let new = self.with(model, version, |c| {
+        let new = self.with_version(model, version, |c| {
             let new = c.held.insert(chunk);
             if new {
                 c.log.push(chunk);
@@ -124,18 +129,18 @@
             new
         });
         if new == Some(true) {
-            self.news.notify_waiters();
+            self.changes.notify_waiters();
         }
     }
 
     /// Notes that a chunk is missing or spoilt.
     pub(super) fn remove(&self, model: &str, version: WeightVersion, chunk: u32) {
-        self.with(model, version, |c| c.held.remove(chunk));
+        self.with_version(model, version, |c| c.held.remove(chunk));
     }
 
     /// Returns the digest of a held chunk.
     pub(super) fn digest(&self, model: &str, version: WeightVersion, chunk: u32) -> Option<Digest> {
-        self.with(model, version, |c| {
+        self.with_version(model, version, |c| {
             let held = c.held.contains(chunk);
             held.then(|| c.manifest.digests[chunk as usize])
         })?
@@ -143,7 +148,7 @@
 
     /// Returns the manifest of a version, if it is the present one.
     pub(super) fn manifest(&self, model: &str, version: WeightVersion) -> Option<Rc<Manifest>> {
-        self.with(model, version, |c| c.manifest.clone())
+        self.with_version(model, version, |c| c.manifest.clone())
     }
 
     /// Returns the number of held chunks and of all.
@@ -163,24 +168,24 @@
 
     /// Returns the held chunks.
     pub(super) fn held(&self, model: &str, version: WeightVersion) -> Vec<u32> {
-        self.with(model, version, |c| c.held.iter().collect())
+        self.with_version(model, version, |c| c.held.iter().collect())
             .unwrap_or_default()
     }
 
     /// Returns the chunks that arrived after a position of the arrival order; `None` for another version.
-    pub(super) fn since(
+    pub(super) fn arrived_since(
         &self,
         model: &str,
         version: WeightVersion,
         from: usize,
     ) -> Option<Vec<u32>> {
-        self.with(model, version, |c| {
+        self.with_version(model, version, |c| {
             c.log.get(from..).unwrap_or_default().to_vec()
         })
     }
 
     /// Waits for the next change.
     pub(super) async fn changed(&self) {
-        self.news.notified().await;
+        self.changes.notified().await;
     }
 }
--- a/src/staging/load.rs
+++ b/src/staging/load.rs
@@ -8,11 +8,11 @@
 use tokio::task::{spawn_local, AbortHandle};
 
 use super::{
-    agent::{Agent, RETRY},
-    holdings::is_intact,
+    agent::{Agent, RETRY_DELAY},
+    inventory::is_intact,
     log_event,
-    run::REPORT,
-    EndpointHost, LoadAnswer, Manifest, Origin,
+    run::POLL_INTERVAL,
+    EndpointHost, LoadResponse, Manifest, Origin,
 };
 use crate::{
     base::Millis,
@@ -28,11 +28,11 @@
 #[derive(Debug, Default)]
 pub(super) struct Loader {
     /// Whether the endpoint keeps a complete version that it has not taken yet.
-    pub(super) occupied: Rc<Cell<bool>>,
+    pub(super) staging_reserved: Rc<Cell<bool>>,
     /// Whether the endpoint drains for a load or loads.
-    pub(super) ordered: Cell<bool>,
+    pub(super) loading: Cell<bool>,
     /// Turn of this host, until it loads; a newer version that is complete before takes over the turn.
-    turn: Cell<Option<Millis>>,
+    scheduled: Cell<Option<Millis>>,
     task: RefCell<Option<AbortHandle>>,
 }
 
@@ -40,35 +40,35 @@
     /// Forgets everything, because the endpoint started anew.
     pub(super) fn reset(&self) {
         self.stop();
-        self.ordered.set(false);
-        self.turn.set(None);
+        self.loading.set(false);
+        self.scheduled.set(None);
     }
 
     fn stop(&self) {
         if let Some(task) = self.task.take() {
             task.abort();
         }
-        self.occupied.set(false);
+        self.staging_reserved.set(false);
     }
 }
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
     /// Stages a version that is held completely and loads it in turn; returns whether it is loaded. The load goes on if
     /// the caller turns to a newer version.
-    pub(super) async fn load_in_turn(
+    pub(super) async fn load_scheduled(
         self: &Rc<Self>,
         model: &Rc<str>,
         manifest: &Rc<Manifest>,
     ) -> bool {
-        if self.loader.occupied.get() {
+        if self.loader.staging_reserved.get() {
             // An older version that still waits for its turn is left out.
             self.loader.stop();
         }
-        self.holdings.forget_previous();
-        if !self.stage_kept(model, manifest.version).await {
+        self.inventory.drop_previous();
+        if !self.stage_buffered(model, manifest.version).await {
             return false;
         }
-        self.loader.occupied.set(true);
+        self.loader.staging_reserved.set(true);
         let task = spawn_local({
             let (agent, model, manifest) = (self.clone(), model.clone(), manifest.clone());
             async move { agent.wait_and_load(&model, &manifest).await }
@@ -78,35 +78,35 @@
     }
 
     /// Stages the chunks that were kept in memory; returns whether the endpoint took all.
-    async fn stage_kept(&self, model: &str, version: WeightVersion) -> bool {
-        while let Some((chunk, data)) = self.holdings.next_unstaged(model, version) {
+    async fn stage_buffered(&self, model: &str, version: WeightVersion) -> bool {
+        while let Some((chunk, data)) = self.inventory.next_unstaged(model, version) {
             if let Err(e) = self.host.stage(model, chunk, data).await {
                 emit!(
                     log_event::CHUNK,
                     "model={model} version={version} chunk={chunk} outcome=not-staged reason=\"{e}\""
                 );
-                tokio::time::sleep(RETRY.duration()).await;
+                tokio::time::sleep(RETRY_DELAY.duration()).await;
                 return false;
             }
-            self.holdings.set_staged(model, version, chunk);
+            self.inventory.set_staged(model, version, chunk);
         }
         true
     }
 
     async fn wait_and_load(&self, model: &str, manifest: &Manifest) -> bool {
-        while self.loader.ordered.get() {
-            tokio::time::sleep(REPORT.duration()).await;
+        while self.loader.loading.get() {
+            tokio::time::sleep(POLL_INTERVAL.duration()).await;
         }
-        self.wait_turn(model, manifest).await;
-        if self.check(model, manifest).await < manifest.digests.len() {
-            self.loader.occupied.set(false);
+        self.wait_for_start(model, manifest).await;
+        if self.verify(model, manifest).await < manifest.digests.len() {
+            self.loader.staging_reserved.set(false);
             return false;
         }
         self.load(model, manifest.version).await
     }
 
     /// Reads the staged chunks and checks them; returns how many are held, here or at the endpoint.
-    pub(super) async fn check(&self, model: &str, manifest: &Manifest) -> usize {
+    pub(super) async fn verify(&self, model: &str, manifest: &Manifest) -> usize {
         let staged = self.host.staged(model).await.unwrap_or_else(|e| {
             log::debug!("the staged chunks cannot be listed: {e}");
             Vec::new()
@@ -114,7 +114,7 @@
         let version = manifest.version;
         for (i, digest) in manifest.digests.iter().enumerate() {
             let chunk = i as u32;
-            if self.holdings.kept(model, version, chunk).is_some() {
+            if self.inventory.buffered(model, version, chunk).is_some() {
                 continue;
             }
             let intact = staged.contains(&chunk)
@@ -126,34 +126,34 @@
                     }
                 };
             if intact {
-                self.holdings.insert(model, version, chunk);
+                self.inventory.insert(model, version, chunk);
             } else {
-                self.holdings.remove(model, version, chunk);
+                self.inventory.remove(model, version, chunk);
             }
         }
-        self.holdings.held(model, version).len()
+        self.inventory.held(model, version).len()
     }
 
     /// Waits for this host's turn to load.
-    async fn wait_turn(&self, model: &str, manifest: &Manifest) {
-        let (rank, hosts) = self.peers.borrow().turn(manifest.version);
+    async fn wait_for_start(&self, model: &str, manifest: &Manifest) {
+        let (rank, hosts) = self.peers.borrow().load_rank(manifest.version);
         let rollout = Rollout {
             bound: self.settings.bound,
             rank,
             hosts,
         };
         let outdated = self.loaded().and_then(|loaded| {
-            let named = self.named.borrow();
-            named.get(model)?.outdated(loaded)
+            let desired = self.desired.borrow();
+            desired.get(model)?.outdated(loaded)
         });
         let now = self.now();
         let turn = outdated.map_or(now, |at| rollout.start_from(at, now));
         let turn = self
             .loader
-            .turn
+            .scheduled
             .get()
             .map_or(turn, |before| before.min(turn));
-        self.loader.turn.set(Some(turn));
+        self.loader.scheduled.set(Some(turn));
         let wait = turn - now;
         emit!(
             log_event::LOAD,
@@ -176,16 +176,16 @@
             "model={model} version={version} state=ordered answer=\"{text}\""
         );
         // If the endpoint has taken the staged chunks, a newer version may replace them.
-        self.loader.occupied.set(false);
-        if !matches!(answer, Ok(LoadAnswer::Begun | LoadAnswer::Done)) {
-            tokio::time::sleep(RETRY.duration()).await;
+        self.loader.staging_reserved.set(false);
+        if !matches!(answer, Ok(LoadResponse::Begun | LoadResponse::Done)) {
+            tokio::time::sleep(RETRY_DELAY.duration()).await;
             return false;
         }
-        self.loader.turn.set(None);
-        self.loader.ordered.set(true);
+        self.loader.scheduled.set(None);
+        self.loader.loading.set(true);
         self.state_changed.notify_one();
         let loaded = self.wait_loaded(model, version).await;
-        self.loader.ordered.set(false);
+        self.loader.loading.set(false);
         self.state_changed.notify_one();
         loaded
     }
@@ -194,7 +194,7 @@
     async fn wait_loaded(&self, model: &str, version: WeightVersion) -> bool {
         let mut idle = self.now();
         while self.now() <= idle + ORDER_RETRY {
-            tokio::time::sleep(REPORT.duration()).await;
+            tokio::time::sleep(POLL_INTERVAL.duration()).await;
             if self.loaded().is_some_and(|v| v >= version) {
                 emit!(
                     log_event::LOAD,
--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -5,17 +5,17 @@
 //! endpoint. Which chunk comes from where is decided by [`crate::decide::chunk`].
 
 mod agent;
+mod assignment;
 mod copy;
 mod entries;
 mod exchange;
-mod holdings;
 mod host;
+mod inventory;
 mod load;
 mod log_event;
+mod notify;
 mod peers;
 mod run;
-mod tell;
-mod work;
 
-pub use host::{EndpointHost, HostError, HostReport, LoadAnswer, Manifest, Origin};
+pub use host::{EndpointHost, HostError, HostReport, LoadResponse, Manifest, Origin};
 pub use run::{run, AgentSettings};
--- a/src/staging/tell.rs
+++ b/src/staging/notify.rs
@@ -16,14 +16,14 @@
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
     /// Sends the endpoint's state to the entries that read the store, whenever it changes.
-    pub(super) async fn tell_entries(self: Rc<Self>, socket: UdpSocket) {
+    pub(super) async fn notify_entries(self: Rc<Self>, socket: UdpSocket) {
         loop {
             self.state_changed.notified().await;
             for _ in 0..REPEATS {
-                let Some((news, readers)) = self.news() else {
+                let Some((update, readers)) = self.endpoint_update() else {
                     break;
                 };
-                let message = match postcard::to_stdvec(&Message::Endpoint(news)) {
+                let message = match postcard::to_stdvec(&Message::Endpoint(update)) {
                     Ok(message) => message,
                     Err(e) => {
                         log::warn!("cannot encode the state of the endpoint: {e}");
--- a/src/staging/peers.rs
+++ b/src/staging/peers.rs
@@ -18,17 +18,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peers {
     pub(super) topology: Topology,
-    me: SocketAddr,
+    own_addr: SocketAddr,
     addrs: HashMap<PeerId, SocketAddr>,
     /// Hosts in the origin's availability zone.
-    near: HashSet<IpAddr>,
+    near_origin: HashSet<IpAddr>,
 }
 
 /// Where this host and the origin are.
 #[derive(Clone, Debug)]
 pub(super) struct Location {
     /// Address of this host's exchange; its port is the same on all hosts.
-    pub(super) me: SocketAddr,
+    pub(super) own_addr: SocketAddr,
     pub(super) zone: Zone,
     /// Region of each zone.
     pub(super) regions: RegionMap<Zone, Region>,
@@ -62,18 +62,18 @@
 impl Peers {
     /// Finds the other agents of a service from the addresses and zones of its endpoints.
     pub(super) fn new(location: &Location, endpoints: &[(SocketAddr, Zone)]) -> Self {
-        let me = id(location.me);
+        let me = id(location.own_addr);
         let mut members = Vec::new();
         let mut addrs = HashMap::default();
-        let mut near = HashSet::default();
+        let mut near_origin = HashSet::default();
         if location.origin.as_ref() == Some(&location.zone) {
-            near.insert(location.me.ip());
+            near_origin.insert(location.own_addr.ip());
         }
         for (addr, zone) in endpoints {
-            let addr = SocketAddr::new(addr.ip(), location.me.port());
+            let addr = SocketAddr::new(addr.ip(), location.own_addr.port());
             let id = id(addr);
             if location.origin.as_ref() == Some(zone) {
-                near.insert(addr.ip());
+                near_origin.insert(addr.ip());
             }
             members.push(Member {
                 id,
@@ -83,9 +83,9 @@
         }
         Self {
             topology: Topology::new(me, members),
-            me: location.me,
+            own_addr: location.own_addr,
             addrs,
-            near,
+            near_origin,
         }
     }
 
@@ -117,10 +117,10 @@
     }
 
     /// Returns this host's position among all in the turns of a version, and their number.
-    pub(super) fn turn(&self, version: WeightVersion) -> (usize, usize) {
-        let order = |host| order(host, self.near.contains(&host), version.0);
-        let mine = order(self.me.ip());
-        let others = self.addrs.values().filter(|a| a.ip() != self.me.ip());
+    pub(super) fn load_rank(&self, version: WeightVersion) -> (usize, usize) {
+        let order = |host| order(host, self.near_origin.contains(&host), version.0);
+        let mine = order(self.own_addr.ip());
+        let others = self.addrs.values().filter(|a| a.ip() != self.own_addr.ip());
         let ahead = others.clone().filter(|a| order(a.ip()) < mine);
         (ahead.count(), others.count() + 1)
     }
--- a/src/staging/run.rs
+++ b/src/staging/run.rs
@@ -13,8 +13,8 @@
 
 use super::{
     agent::Agent,
-    exchange::{Exchange, LINK_SHARE},
-    holdings::Holdings,
+    exchange::{ChunkServer, LINK_SHARE},
+    inventory::ChunkInventory,
     log_event, EndpointHost, Origin,
 };
 use crate::{
@@ -28,16 +28,16 @@
 };
 
 /// Longest wait of one read of the operator's records.
-const WAIT: Millis = Millis(2500);
+const READ_WAIT: Millis = Millis(2500);
 
 /// Time between two looks at the endpoint, which answers its own host for free.
-pub(super) const REPORT: Millis = Millis(150);
+pub(super) const POLL_INTERVAL: Millis = Millis(150);
 
 /// Time between two reads of the list of hosts while a copy is in progress.
-const PEERS_REFRESH: Millis = Millis(1000);
+const PEERS_INTERVAL: Millis = Millis(1000);
 
 /// Time that a stopping agent gives to transfers in progress.
-const STOP: Millis = Millis(1500);
+const DRAIN_TIMEOUT: Millis = Millis(1500);
 
 /// Settings of an agent process.
 #[derive(Clone, Debug)]
@@ -51,11 +51,11 @@
     /// Service of the endpoint.
     pub service: Service,
     /// Address for other agents; its port is the same on all hosts.
-    pub exchange: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Time within which requests begin on a newly named version.
     pub bound: Millis,
     /// Rate of the host's link.
-    pub link: Rate,
+    pub link_rate: Rate,
     /// Whether to copy before the endpoint answers. Not when the deployment starts for the first time: its endpoints hold
     /// weights from the start.
     pub prefetch: bool,
@@ -78,14 +78,14 @@
     H: EndpointHost,
     O: Origin,
 {
-    let holdings = Rc::new(Holdings::default());
+    let inventory = Rc::new(ChunkInventory::default());
     let clock = SystemClock::start();
-    let rate = settings.link.share(LINK_SHARE);
+    let rate = settings.link_rate.share(LINK_SHARE);
     let pacer = || Rc::new(Pacer::new(rate, Size(0), clock));
-    let exchange = Exchange {
+    let exchange = ChunkServer {
         pacer: pacer(),
         host: host.clone(),
-        holdings: holdings.clone(),
+        inventory: inventory.clone(),
         uploads: Rc::default(),
     };
     emit!(
@@ -94,7 +94,7 @@
         settings.name,
         settings.service
     );
-    let addr = settings.exchange;
+    let addr = settings.peer_addr;
     let listener = listen(addr)
         .wrap_err_with(|| format!("cannot listen on {addr} for agents; check the settings"))?;
     let (closing, closed) = watch::channel(false);
@@ -105,25 +105,25 @@
         store.clone(),
         host,
         origin,
-        holdings,
+        inventory,
         pacer(),
     ));
-    spawn_local(agent.clone().follow_entries());
+    spawn_local(agent.clone().poll_assignments());
     spawn_local(follow(
         store,
         Topic::Operator,
-        WAIT,
+        READ_WAIT,
         Rc::new(OperatorFollower::<D, _>::on_demand(agent.clone())),
     ));
-    spawn_local(agent.clone().watch_endpoint());
+    spawn_local(agent.clone().poll_endpoint());
     let socket = UdpSocket::bind(addr)
         .await
         .wrap_err_with(|| format!("cannot bind {addr} to tell entries; check the settings"))?;
-    spawn_local(agent.clone().tell_entries(socket));
+    spawn_local(agent.clone().notify_entries(socket));
     spawn_local(agent.clone().refresh_peers());
     let main = spawn_local(async move {
         loop {
-            agent.step().await;
+            agent.reconcile().await;
         }
     });
     let mut term = signal(SignalKind::terminate()).wrap_err("cannot handle SIGTERM")?;
@@ -139,7 +139,7 @@
     main.abort();
     closing.send_replace(true);
     // The other hosts fetch elsewhere what is not sent in time.
-    let _ = tokio::time::timeout(STOP.duration(), serving).await;
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT.duration(), serving).await;
     Ok(())
 }
 
@@ -150,7 +150,7 @@
     }
 
     fn weights(&self, model: Rc<str>, version: WeightVersion, found: bool) {
-        self.name_version(model, version, found);
+        self.add_desired(model, version, found);
     }
 
     fn malformed(&self, key: &str, reason: &str) {
@@ -158,23 +158,23 @@
     }
 
     fn should_read(&self) -> bool {
-        self.is_forgotten()
+        self.is_assignment_stale()
     }
 }
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
     /// Looks at the endpoint for ever.
-    async fn watch_endpoint(self: Rc<Self>) {
+    async fn poll_endpoint(self: Rc<Self>) {
         loop {
-            self.look().await;
-            tokio::time::sleep(REPORT.duration()).await;
+            self.poll_report().await;
+            tokio::time::sleep(POLL_INTERVAL.duration()).await;
         }
     }
 
     /// Reads the list of hosts while a copy is in progress.
     async fn refresh_peers(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(PEERS_REFRESH.duration()).await;
+            tokio::time::sleep(PEERS_INTERVAL.duration()).await;
             if self.copying.get() {
                 self.read_peers().await;
             }
--- a/tests/staging_copy.rs
+++ b/tests/staging_copy.rs
@@ -18,7 +18,7 @@
         WeightVersion,
     },
     staging::{
-        self, AgentSettings, EndpointHost, HostError, HostReport, LoadAnswer, Manifest, Origin,
+        self, AgentSettings, EndpointHost, HostError, HostReport, LoadResponse, Manifest, Origin,
     },
 };
 use sha2::{Digest as _, Sha256};
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    async fn load(&self, _: &str, version: WeightVersion) -> Result<LoadAnswer, HostError> {
+    async fn load(&self, _: &str, version: WeightVersion) -> Result<LoadResponse, HostError> {
         self.answers()?;
         let staged = self.0.staged.borrow();
         let good = (0..CHUNKS).all(|c| staged.get(&c) == Some(&content(version.0, c)));
@@ -100,7 +100,7 @@
             self.0.bad_loads.set(self.0.bad_loads.get() + 1);
         }
         self.0.loaded.set(version.0);
-        Ok(LoadAnswer::Begun)
+        Ok(LoadResponse::Begun)
     }
 }
 
@@ -205,9 +205,9 @@
         regions: RegionMap::from([("a".parse().expect("a valid name"), region)]),
         zone,
         service: "llm".parse().expect("a valid name"),
-        exchange: addr(n, PORT),
+        peer_addr: addr(n, PORT),
         bound,
-        link: Rate(4_000_000),
+        link_rate: Rate(4_000_000),
         prefetch: true,
     }
 }
