--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Answers callers that ask which entries to connect to.
+//! Directory of the entries that callers may connect to.
 
 use std::net::SocketAddr;
 
@@ -7,31 +7,31 @@
 use super::Members;
 use crate::base::Millis;
 
-/// Addresses in one answer at most.
+/// Largest number of addresses in one response.
 const ADDRESSES_MAX: usize = 64;
 
-/// Time for which callers keep an answer; a lost entry is avoided after it.
-const TTL: Millis = Millis(1000);
+/// Time for which callers may cache a response; they use a lost entry's address for at most this time.
+const TTL_MAX: Millis = Millis(1000);
 
-/// Answer of the directory.
+/// Response of the directory, written as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Directory {
-    /// Addresses of entries.
+    /// Addresses of ready entries, for callers' requests.
     pub addresses: Vec<SocketAddr>,
-    /// Whole seconds for which the answer may be kept.
+    /// Time for which the response may be cached, in whole seconds; at least 1.
     pub ttl_s: u64,
 }
 
 impl Directory {
-    /// Answers a caller of a zone; `None` if no entry is ready.
-    pub fn for_caller(members: &Members, zone: &str, longest: Millis, now: Millis) -> Option<Self> {
+    /// Returns the entries for a caller of a zone, valid for `ttl_max` at most; `None` if no entry is ready.
+    pub fn for_caller(members: &Members, zone: &str, ttl_max: Millis, now: Millis) -> Option<Self> {
         let addresses = members.addresses(zone, ADDRESSES_MAX, now);
         if addresses.is_empty() {
             return None;
         }
         Some(Self {
             addresses,
-            ttl_s: (TTL.min(longest).0 / 1000).max(1),
+            ttl_s: (TTL_MAX.min(ttl_max).0 / 1000).max(1),
         })
     }
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -11,49 +11,51 @@
     emit,
 };
 
-/// Time after a failed read; short, because a bound on configuration runs on.
-const RETRY: Millis = Millis(300);
+/// Mean pause after a failed read; short, because the time limit on applying a new configuration continues to run.
+const READ_RETRY: Millis = Millis(300);
 
-/// Time between two looks whether a topic is wanted again.
-const REST: Millis = Millis(120);
+/// Interval at which [`Follower::should_read`] is checked while the topic is not read.
+const INACTIVE_POLL: Millis = Millis(120);
 
-/// Time without an answer after which the store counts as lost.
-const LOST: Millis = Millis(1500);
+/// Time without a successful read, beyond the usual time between reads, after which the store counts as lost.
+const STORE_TIMEOUT: Millis = Millis(1500);
 
-/// Takes what a topic says.
+/// Applies the records of a compacted topic.
 pub trait Follower {
-    /// Takes a record.
+    /// Applies one record.
     fn apply(&self, record: Record);
 
-    /// Takes all records of the topic; keys that are missing were removed.
+    /// Replaces the known state by all records of the topic; keys that are missing were removed.
     fn replace(&self, records: Vec<Record>);
 
-    /// Notes that the store answers again after an outage; called before the records are taken.
+    /// Called when a read succeeds after an outage of the store, before its records are applied.
     fn store_recovered(&self);
 
-    /// Notes that all records of a read were taken.
+    /// Called when all records of a read are applied.
     fn batch_applied(&self) {}
 
-    /// Notes that the store answered.
+    /// Called after each successful read, before its records are applied.
     fn read_succeeded(&self) {}
 
-    /// Returns whether the topic is to be read; while it is not, another process tells what it says.
+    /// Returns whether to read the topic; while this is false, another process passes on its content.
     fn should_read(&self) -> bool {
         true
     }
 
-    /// Returns the pause after a read; topics that change all the time are read at intervals.
+    /// Returns the pause after a read; topics that change continually are read at intervals instead of by long poll.
     fn pause(&self) -> Millis {
         Millis::ZERO
     }
 
-    /// Returns when a waiting read should be given up and made again, because there is news of which it says nothing.
+    /// Completes when a read that waits for new records must be abandoned and issued again, because the store changed
+    /// in a way that does not end the wait.
     fn read_interrupted(&self) -> impl Future<Output = ()> {
         std::future::pending()
     }
 }
 
-/// Follows a topic for ever: reads with a wait of `wait`, with the follower's pause between two reads.
+/// Follows a topic and never returns. Each read waits up to `wait` for new records; the follower's pause separates
+/// reads.
 pub async fn follow<S: RecordStore>(
     store: S,
     topic: Topic,
@@ -61,23 +63,23 @@
     follower: Rc<impl Follower>,
 ) {
     let clock = SystemClock::start();
-    let mut state = State {
+    let mut state = FollowState {
         offset: None,
-        answered: clock.now(),
-        usual: wait + follower.pause(),
+        last_success: clock.now(),
+        usual_interval: wait + follower.pause(),
         lost: false,
         failing: false,
     };
     loop {
         if !follower.should_read() {
-            state.rest(clock.now());
-            tokio::time::sleep(REST.duration()).await;
+            state.reset(clock.now());
+            tokio::time::sleep(INACTIVE_POLL.duration()).await;
             continue;
         }
         let result = match state.offset {
             None => store.newest(topic).await.map(|r| (r, true)),
             Some(from) => {
-                // A read that waits would notice the end of an outage late.
+                // While reads fail, a long poll would delay the detection that the store is back.
                 let wait = if state.failing { Millis::ZERO } else { wait };
                 let read = store.read(topic, from, wait);
                 tokio::select! {
@@ -87,12 +89,13 @@
             }
         };
         match result {
-            Ok((_, false)) if state.is_away(clock.now()) => {
-                // Records since the outage come in pages; until the last one, others must not rely on this process.
+            Ok((_, false)) if state.is_store_lost(clock.now()) => {
+                // The backlog of an outage would come in pages, and other processes must not rely on this one before
+                // the last page; the newest record of each key comes at once.
                 state.offset = None;
             }
             Ok((records, all)) => {
-                state.answer(topic, clock.now(), &*follower);
+                state.record_success(topic, clock.now(), &*follower);
                 state.offset = Some(records.next);
                 if all {
                     follower.replace(records.records);
@@ -113,40 +116,44 @@
                 state.offset = None;
             }
             Err(e) => {
-                state.fail(topic, clock.now(), &e);
-                tokio::time::sleep(jitter(RETRY).duration()).await;
+                state.record_failure(topic, clock.now(), &e);
+                tokio::time::sleep(jitter(READ_RETRY).duration()).await;
             }
         }
     }
 }
 
-struct State {
+/// Progress of reading one topic, and whether the store answers.
+struct FollowState {
+    /// Offset of the next record to read; `None` before the first read and when all records must be read again.
     offset: Option<u64>,
-    answered: Millis,
-    /// Longest time between two answers when all is well.
-    usual: Millis,
+    /// When a read succeeded last.
+    last_success: Millis,
+    /// Longest time between two successful reads while the store works.
+    usual_interval: Millis,
+    /// Whether the outage in progress was logged.
     lost: bool,
-    /// Whether the last call failed.
+    /// Whether the last read failed.
     failing: bool,
 }
 
-impl State {
-    /// Starts anew after a time without reads.
-    fn rest(&mut self, now: Millis) {
+impl FollowState {
+    /// Resets the state while the topic is not read.
+    fn reset(&mut self, now: Millis) {
         self.offset = None;
-        self.answered = now;
+        self.last_success = now;
         self.lost = false;
         self.failing = false;
     }
 
-    /// Returns whether the store has not answered for so long that it counts as lost.
-    fn is_away(&self, now: Millis) -> bool {
-        self.lost || now > self.answered + self.usual + LOST
+    /// Returns whether reads have failed for so long that the store counts as lost.
+    fn is_store_lost(&self, now: Millis) -> bool {
+        self.lost || now > self.last_success + self.usual_interval + STORE_TIMEOUT
     }
 
-    fn answer(&mut self, topic: Topic, now: Millis, follower: &impl Follower) {
-        if self.is_away(now) {
-            let away = now - self.answered;
+    fn record_success(&mut self, topic: Topic, now: Millis, follower: &impl Follower) {
+        if self.is_store_lost(now) {
+            let away = now - self.last_success;
             emit!(
                 log_event::STORE,
                 "topic={topic:?} outcome=regained away={}",
@@ -156,13 +163,13 @@
         }
         self.lost = false;
         self.failing = false;
-        self.answered = now;
+        self.last_success = now;
         follower.read_succeeded();
     }
 
-    fn fail(&mut self, topic: Topic, now: Millis, error: &StoreError) {
+    fn record_failure(&mut self, topic: Topic, now: Millis, error: &StoreError) {
         self.failing = true;
-        if !self.lost && self.is_away(now) {
+        if !self.lost && self.is_store_lost(now) {
             self.lost = true;
             emit!(
                 log_event::STORE,
--- a/src/gateway/followers.rs
+++ b/src/gateway/followers.rs
@@ -1,4 +1,4 @@
-//! What an entry takes from the store's topics.
+//! How an entry applies the records of the store's topics.
 
 use std::{cell::Cell, marker::PhantomData, rc::Rc};
 
@@ -19,17 +19,18 @@
     emit,
 };
 
-/// Pause between reads of the endpoints, whose records change all the time; short, because an endpoint that leaves has
-/// to be known in time.
+/// Pause between reads of the endpoints, whose records change continually; short, because requests to a draining
+/// endpoint must stop in time.
 const ENDPOINTS_PAUSE: Millis = Millis(500);
 
-/// Pause while endpoints load weights: until its record is read, an endpoint stands idle after its load.
+/// Pause between reads of the endpoints while some load weights: after its load, an endpoint gets no requests until its
+/// new record is read.
 const ENDPOINTS_PAUSE_LOADING: Millis = Millis(300);
 
-/// Pause between reads of the announcements of entries, which tell most by their beats.
+/// Pause between reads of the announcements of entries; most of their state arrives by heartbeat.
 const ENTRIES_PAUSE: Millis = Millis(2000);
 
-/// Puts a catalog in force and logs it.
+/// Puts a catalog in force unless a newer one already is, and logs it. `source` names the store or the sending entry.
 pub(super) fn apply_catalog(ctx: &Context, catalog: Catalog, raw: Bytes, source: &str) {
     let version = catalog.version;
     let routes: usize = catalog.routes.values().map(Vec::len).sum();
@@ -41,7 +42,7 @@
     );
 }
 
-/// Takes the operator's intents in an entry.
+/// Applies the operator's records in an entry.
 impl OperatorSink for Rc<Context> {
     fn catalog(&self, catalog: Catalog, raw: Bytes) {
         apply_catalog(self, catalog, raw, "store");
@@ -68,10 +69,10 @@
     }
 }
 
-/// Follows the endpoints' records.
-pub(super) struct Endpoints<D>(pub(super) Rc<Context>, pub(super) PhantomData<D>);
+/// Follower of the endpoints' records.
+pub(super) struct EndpointFollower<D>(pub(super) Rc<Context>, pub(super) PhantomData<D>);
 
-impl<D: Decode> Endpoints<D> {
+impl<D: Decode> EndpointFollower<D> {
     fn apply_record(&self, record: &Record) -> Option<EndpointId> {
         let id = EndpointId(String::from_utf8_lossy(&record.key).into());
         let decoded = match record.value.as_ref().map(|v| D::endpoint(v)) {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Takes over a change of an endpoint wherever it matters, and logs it.
+/// Updates everything that depends on the endpoint table after a change of an endpoint, and logs the change.
 pub(super) fn endpoint_changed(ctx: &Context, id: &EndpointId, change: Change) {
     if matches!(change, Change::Renewed | Change::Stale) {
         return;
@@ -117,7 +118,7 @@
     emit!(log_event::ENDPOINT, "endpoint={id} change={change:?}{text}");
 }
 
-impl<D: Decode> Follower for Endpoints<D> {
+impl<D: Decode> Follower for EndpointFollower<D> {
     fn apply(&self, record: Record) {
         self.apply_record(&record);
     }
@@ -169,14 +170,14 @@
     }
 }
 
-/// Follows the announcements of entries.
-pub(super) struct Entries {
+/// Follower of the announcements of entries.
+pub(super) struct EntryFollower {
     pub(super) ctx: Rc<Context>,
-    /// Whether the announcements were read once.
+    /// Whether the announcements were read after the other entries of a common start had time to write theirs.
     pub(super) read: Cell<bool>,
 }
 
-impl Follower for Entries {
+impl Follower for EntryFollower {
     fn apply(&self, record: Record) {
         let Some(value) = &record.value else {
             return;
@@ -194,7 +195,7 @@
     }
 
     fn read_succeeded(&self) {
-        // Entries that start together announce themselves while this one reads for the first time.
+        // Entries that start at the same time may announce themselves only after the first read of this one.
         self.read
             .set(self.ctx.now() > self.ctx.started + ENTRIES_PAUSE);
     }
--- a/src/gateway/log_event.rs
+++ b/src/gateway/log_event.rs
@@ -1,37 +1,37 @@
-//! Numbered events of the gateway.
+//! Numbered log events of the gateway.
 
 crate::events! {
-    /// A request was answered.
+    /// A request ended without a stream: with an endpoint's response or one of this entry.
     ENDED = 450, "gateway-request", Info,
-        "a request was answered whole, refused or given up", "see its attempts and the reason";
-    /// An attempt at an endpoint brought no usable response.
+        "a request ended with a complete response, a rejection or a timeout", "see its attempts and the reason";
+    /// An attempt at an endpoint ended without a usable response.
     ATTEMPT = 451, "gateway-attempt", Info,
-        "an attempt at an endpoint brought no usable response", "look for the endpoint";
-    /// A stream began, broke, was resumed or ended.
+        "an attempt at an endpoint ended without a usable response", "check the endpoint";
+    /// A stream sent its first event, broke, was resumed or ended.
     STREAM = 452, "gateway-stream", Info,
-        "a stream began, broke, was resumed or ended", "see the reason and its endpoints";
-    /// A catalog is in force.
+        "a stream sent its first event, broke, was resumed or ended", "see the reason and its endpoints";
+    /// A catalog was received from the store or another entry.
     CATALOG = 453, "gateway-catalog", Info,
-        "a configuration is in force", "none";
-    /// The operator named a version of weights.
+        "a configuration was received and, unless a newer one is in force, applied", "none";
+    /// A version of a model's weights became the desired one.
     VERSION = 454, "gateway-version", Info,
-        "a version of weights was named", "none";
-    /// An endpoint came, changed or left.
+        "a version of weights became the desired one", "none";
+    /// An endpoint was added, changed, paused or removed, or drains.
     ENDPOINT = 455, "gateway-endpoint", Info,
-        "an endpoint came, changed or left", "none";
-    /// A record of the store cannot be used.
+        "an endpoint was added, changed, paused or removed, or drains", "none";
+    /// A record, datagram or reply of another process cannot be decoded and is ignored.
     RECORD = 456, "gateway-record", Warn,
-        "a record of the store cannot be decoded and is ignored", "look for its writer";
-    /// The store was lost or answers again.
+        "a record of the store or data of another process cannot be decoded and is ignored", "check the process that wrote it";
+    /// The store stopped responding, responds again, or no longer keeps the records to read next.
     STORE = 457, "gateway-store", Warn,
-        "the store stopped to answer or answers again", "check the store and the path to it";
-    /// Another entry came or left.
+        "the store stopped responding or responds again", "check the store and the network path to it";
+    /// Another entry became live, changed its readiness or did not serve its endpoint table.
     MEMBER = 458, "gateway-member", Info,
-        "another entry came, left or fell silent", "look for that entry";
-    /// This entry reads the store or relies on another one, or changes the one that it relies on.
+        "another entry became live, changed its readiness or did not serve its endpoint table", "check that entry";
+    /// This entry begins or stops reading the store, or gets the endpoint table from another entry.
     READER = 460, "gateway-reader", Info,
-        "the entry reads the store itself or takes the endpoints from another one", "see the beats of the zone's entries";
-    /// The process starts, drains or stops.
+        "the entry reads the store itself or gets the endpoint table from another one", "check the heartbeats of the zone's entries";
+    /// The process starts, drains, reloads its settings or stops.
     PROCESS = 459, "gateway-process", Info,
         "the process starts, drains, reloads or stops", "none";
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,9 @@
-//! Entry that forwards HTTP requests directly to endpoints.
+//! Entry process that forwards callers' HTTP requests directly to endpoints.
 //!
-//! Requests are routed by host and path prefix. The catalog, the endpoints and the named weight versions are records of
-//! the platform's store, which two entries of each zone read for the others and for agents; nothing is agreed between
-//! entries. Everything here runs on one thread, because an entry host has one small core; state is shared without locks.
+//! Requests are routed by host and path prefix. The catalog, the endpoints and the desired weight versions are records
+//! of the platform's store. Two entries of each availability zone read the store and pass its content on to the other
+//! entries and to agents; entries run no consensus protocol. Everything here runs on one thread, because an entry host
+//! has one small core; tasks share state without locks.
 
 mod accept;
 mod assignment;
--- a/src/gateway/operator_records.rs
+++ b/src/gateway/operator_records.rs
@@ -10,24 +10,24 @@
     record::{EndpointRecord, Intent, Record, WeightVersion},
 };
 
-/// Decodes the platform's records.
+/// Decodes the records of the platform's store.
 pub trait Decode: 'static {
-    /// Decodes a record of [`Topic::Operator`](super::Topic::Operator); `None` if it says nothing that concerns an
-    /// entry or agent.
+    /// Decodes a record of [`Topic::Operator`](super::Topic::Operator); `None` if the record does not concern entries
+    /// or agents.
     ///
     /// # Errors
     ///
     /// Returns why the value cannot be decoded.
     fn operator_record(key: &[u8], value: &[u8]) -> Result<Option<Intent>, String>;
 
-    /// Decodes the value of a configuration.
+    /// Decodes the value of a configuration record.
     ///
     /// # Errors
     ///
     /// Returns why the value cannot be decoded.
     fn catalog(value: &[u8]) -> Result<Catalog, String>;
 
-    /// Decodes a record of [`Topic::Endpoints`](super::Topic::Endpoints).
+    /// Decodes the value of a record of [`Topic::Endpoints`](super::Topic::Endpoints).
     ///
     /// # Errors
     ///
@@ -35,15 +35,16 @@
     fn endpoint(value: &[u8]) -> Result<EndpointRecord, String>;
 }
 
-/// Takes what the operator's records say.
+/// Applies decoded records of the operator.
 pub trait OperatorSink {
-    /// Takes a configuration, decoded and encoded.
+    /// Applies a configuration; `raw` is its encoded form.
     fn catalog(&self, catalog: Catalog, raw: Bytes);
 
-    /// Takes a named version; `found` says that it was named before this process started.
+    /// Records the desired version of a model's weights; `found` is true if the record was written before this process
+    /// started.
     fn weights(&self, model: Rc<str>, version: WeightVersion, found: bool);
 
-    /// Notes a record that cannot be decoded.
+    /// Reports a record that cannot be decoded.
     fn malformed(&self, key: &str, reason: &str);
 
     /// See [`Follower::should_read`].
@@ -57,19 +58,19 @@
     }
 }
 
-/// Follows the operator's records.
+/// Follower of the operator's records, which decodes them and passes them to a sink.
 #[derive(Debug)]
 pub struct OperatorFollower<D, T> {
     sink: T,
-    /// Whether the records were read once; what the first read brings was written before this process started.
+    /// Whether the first read is done; its records were written before this process started.
     read: Cell<bool>,
-    /// Whether even the first read waits until the sink wants it.
+    /// Whether even the first read waits until the sink's [`OperatorSink::should_read`] is true.
     on_demand: bool,
     _decode: PhantomData<D>,
 }
 
 impl<D, T> OperatorFollower<D, T> {
-    /// Creates a follower that passes the intents on.
+    /// Creates a follower that reads once at the start and from then on while the sink asks for it.
     pub fn new(sink: T) -> Self {
         Self {
             sink,
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Creates a follower for a process that others tell what the records say: it reads only while the sink wants it.
+    /// Creates a follower for a process that gets the records' content from entries: it reads the store only while the
+    /// sink asks for it.
     pub fn on_demand(sink: T) -> Self {
         Self {
             on_demand: true,
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! The entry process: sockets, followers of the store, beats and shutdown.
+//! The entry process: sockets, followers of the store's topics, heartbeats and shutdown.
 
 use std::{cell::Cell, marker::PhantomData, net::SocketAddr, rc::Rc};
 
@@ -15,7 +15,7 @@
     context::Context,
     fleet::Change,
     follow::follow,
-    followers::{endpoint_changed, Endpoints, Entries},
+    followers::{endpoint_changed, EndpointFollower, EntryFollower},
     log_event,
     members::{Beat, Members, Status},
     metrics::GatewayMetrics,
@@ -31,24 +31,24 @@
     observe::LeftOut,
 };
 
-/// Longest wait of one read of a topic that seldom changes.
-const WAIT: Millis = Millis(5000);
+/// Longest wait of one read (long poll) of a topic that seldom changes.
+const LONG_POLL_WAIT: Millis = Millis(5000);
 
-/// Time between two looks at what expired.
-const UPKEEP: Millis = Millis(250);
+/// Interval at which expired state is removed.
+const EXPIRY_INTERVAL: Millis = Millis(250);
 
-/// Time between two tries to announce this entry.
+/// Interval between attempts to announce this entry in the store.
 const ANNOUNCE_RETRY: Millis = Millis(700);
 
-/// Time for which a draining entry still accepts connections: three times the time for which callers keep an answer of
-/// the directory.
-const LINGER: Millis = Millis(3200);
+/// Time for which a draining entry still accepts connections: three times as long as callers cache a response of the
+/// directory, with a margin.
+const DRAIN_ACCEPT_TIME: Millis = Millis(3200);
 
-/// Time before the end of the grace period at which the process exits in any case.
+/// Time before the end of the grace period at which the process exits even if requests are in progress.
 const EXIT_MARGIN: Millis = Millis(400);
 
-/// Runs an entry until it is told to stop; `load` reads the settings, at the start and when SIGHUP asks for it, and
-/// `lines` counts the log lines that were left out.
+/// Runs an entry until SIGTERM. `load` reads the settings at the start and on each SIGHUP, and `lines` counts the log
+/// lines that were left out under load.
 ///
 /// # Errors
 ///
@@ -84,24 +84,34 @@
     let (closing, closed) = watch::channel(false);
     let callers = serve_all(&ctx, &closed)?;
     let intents = Rc::new(OperatorFollower::<D, _>::new(ctx.clone()));
-    let endpoints = Rc::new(Endpoints::<D>(ctx.clone(), PhantomData));
-    let entries = Rc::new(Entries {
+    let endpoints = Rc::new(EndpointFollower::<D>(ctx.clone(), PhantomData));
+    let entries = Rc::new(EntryFollower {
         ctx: ctx.clone(),
         read: Cell::default(),
     });
-    spawn_local(follow(store.clone(), Topic::Operator, WAIT, intents));
+    spawn_local(follow(
+        store.clone(),
+        Topic::Operator,
+        LONG_POLL_WAIT,
+        intents,
+    ));
     spawn_local(follow(
         store.clone(),
         Topic::Endpoints,
         Millis::ZERO,
         endpoints,
     ));
-    spawn_local(follow(store.clone(), Topic::Entries, WAIT, entries));
+    spawn_local(follow(
+        store.clone(),
+        Topic::Entries,
+        LONG_POLL_WAIT,
+        entries,
+    ));
     spawn_local(announce(ctx.clone(), store));
-    spawn_local(upkeep(ctx.clone()));
+    spawn_local(remove_expired(ctx.clone()));
     let socket = UdpSocket::bind(ctx.settings.listen.peers)
         .await
-        .wrap_err("cannot bind the socket between entries; check the settings")?;
+        .wrap_err("cannot bind the gossip socket; check the settings")?;
     let socket = Rc::new(socket);
     spawn_local(hear(ctx.clone(), socket.clone()));
     spawn_local(beat(ctx.clone(), socket.clone()));
@@ -119,7 +129,7 @@
     Ok(())
 }
 
-/// Binds the sockets; returns the task that ends when the callers' connections have ended.
+/// Binds the HTTP sockets and serves them; returns the task that ends when the callers' connections have ended.
 fn serve_all(
     ctx: &Rc<Context>,
     closed: &watch::Receiver<bool>,
@@ -176,7 +186,7 @@
     Ok(task)
 }
 
-/// Announces this entry in the store once.
+/// Announces this entry in the store once, with retries until the record is written.
 async fn announce<S: RecordStore>(ctx: Rc<Context>, store: S) {
     loop {
         let beat = ctx.members.borrow().me().clone();
@@ -197,16 +207,16 @@
     }
 }
 
-/// Drops what expired.
-async fn upkeep(ctx: Rc<Context>) {
+/// Removes expired endpoints, connections and loads at regular intervals, and reassigns the ownership of endpoints.
+async fn remove_expired(ctx: Rc<Context>) {
     loop {
-        tokio::time::sleep(UPKEEP.duration()).await;
+        tokio::time::sleep(EXPIRY_INTERVAL.duration()).await;
         let now = ctx.now();
-        let over = ctx.fleet.borrow_mut().expire(now);
-        for id in &over {
+        let expired = ctx.fleet.borrow_mut().expire(now);
+        for id in &expired {
             endpoint_changed(&ctx, id, Change::Removed);
         }
-        if !over.is_empty() {
+        if !expired.is_empty() {
             ctx.tell();
         }
         ctx.divide();
@@ -218,7 +228,7 @@
     }
 }
 
-/// Ends the process gracefully: callers are sent elsewhere, then connections end after their responses.
+/// Drains the process: other entries stop naming it to callers, then connections close after their responses.
 async fn drain(
     ctx: &Rc<Context>,
     socket: &UdpSocket,
@@ -234,7 +244,7 @@
     );
     let targets = ctx.members.borrow().targets(ctx.now());
     send_beat(ctx, socket, &targets).await;
-    tokio::time::sleep(LINGER.duration()).await;
+    tokio::time::sleep(DRAIN_ACCEPT_TIME.duration()).await;
     closing.send_replace(true);
     let end = start + ctx.bounds.get().grace - EXIT_MARGIN;
     let left = end - ctx.now();
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,38 +1,38 @@
-//! What an entry process is told at its start.
+//! Settings of an entry process.
 
 use std::net::SocketAddr;
 
 use crate::base::{Millis, Percent, ProcessName, Region, Zone};
 
-/// Sockets of an entry.
+/// Addresses on which an entry listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Listen {
-    /// Requests of callers.
+    /// Callers' requests (HTTP).
     pub callers: SocketAddr,
-    /// Readiness checks.
+    /// Readiness checks (HTTP); `None` if there are none.
     pub readiness: Option<SocketAddr>,
-    /// Questions of callers where to connect.
+    /// Directory of entries for callers (HTTP); `None` if this entry serves none.
     pub directory: Option<SocketAddr>,
-    /// Metrics in the Prometheus text format, at `/metrics`.
+    /// Metrics in the Prometheus text format, at `/metrics`; `None` if this entry serves none.
     pub metrics: Option<SocketAddr>,
-    /// Datagrams between entries.
+    /// Gossip datagrams of other entries and agents (UDP), and their HTTP requests (TCP).
     pub peers: SocketAddr,
 }
 
-/// Promises that the deployment makes.
+/// Limits that the deployment guarantees to callers and endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time within which requests begin on a newly named version of weights.
+    /// Time from when a version of weights becomes desired until requests no longer begin on older ones.
     pub version: Millis,
-    /// Time from the announcement that an endpoint leaves until it may not get requests.
+    /// Time from when an endpoint reports that it drains until entries no longer send it requests.
     pub drain: Millis,
-    /// Time between SIGTERM and SIGKILL.
+    /// Grace period: time between SIGTERM and SIGKILL.
     pub grace: Millis,
-    /// Share of requests that may be sent a second time.
+    /// Retry budget: share of requests that may be retried.
     pub retries: Percent,
-    /// Retries of all entries together beyond that share, in the window over which they are counted.
+    /// Retries of all entries together beyond that share, within the window over which the budget is counted.
     pub retry_burst: u32,
-    /// Longest time for which callers may keep an answer of the directory.
+    /// Longest time for which callers may cache a response of the directory.
     pub directory_ttl: Millis,
 }
 
@@ -52,20 +52,20 @@
 /// Settings of an entry process.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Name of the process.
+    /// Name of the process, for logs.
     pub name: ProcessName,
-    /// Availability zone.
+    /// Availability zone in which the entry runs.
     pub zone: Zone,
-    /// Region.
+    /// Region in which the entry runs.
     pub region: Region,
-    /// Sockets.
+    /// Addresses on which the entry listens.
     pub listen: Listen,
-    /// Peer sockets of entries to contact first; may be stale.
+    /// Gossip addresses of entries to contact at the start; may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// Promises.
+    /// Guaranteed limits; reloaded on SIGHUP.
     pub bounds: Bounds,
-    /// Path of the callers' question where to connect.
+    /// HTTP path of the directory.
     pub directory_path: String,
-    /// Path of the readiness check.
+    /// HTTP path of the readiness check.
     pub ready_path: String,
 }
--- a/tests/gateway_follow.rs
+++ b/tests/gateway_follow.rs
@@ -1,4 +1,4 @@
-//! Followers of topics through outages of the store.
+//! Following a topic through an outage of the store.
 
 mod gateway_support;
 
@@ -13,16 +13,16 @@
     gateway::{follow, Follower, Record, RecordStore, Records, StoreError, Topic},
 };
 
-/// A store that can be away, and that returns one record a read.
+/// A store that can be unavailable, and that returns one record per read.
 #[derive(Clone, Default)]
 struct FlakyStore {
     store: MemoryStore,
-    away: Rc<Cell<bool>>,
+    unavailable: Rc<Cell<bool>>,
 }
 
 impl FlakyStore {
-    fn answers(&self) -> Result<(), StoreError> {
-        if self.away.get() {
+    fn check_available(&self) -> Result<(), StoreError> {
+        if self.unavailable.get() {
             return Err(StoreError::Refused(429));
         }
         Ok(())
@@ -31,12 +31,12 @@
 
 impl RecordStore for FlakyStore {
     async fn newest(&self, topic: Topic) -> Result<Records, StoreError> {
-        self.answers()?;
+        self.check_available()?;
         self.store.newest(topic).await
     }
 
     async fn read(&self, topic: Topic, from: u64, wait: Millis) -> Result<Records, StoreError> {
-        self.answers()?;
+        self.check_available()?;
         let mut all = self.store.read(topic, from, wait).await?;
         all.records.truncate(1);
         all.next = from + all.records.len() as u64;
@@ -48,11 +48,11 @@
     }
 }
 
-/// What a follower was told, in order.
+/// A follower that records the calls it gets, in order.
 #[derive(Default)]
-struct Heard(RefCell<Vec<String>>);
+struct CallLog(RefCell<Vec<String>>);
 
-impl Heard {
+impl CallLog {
     fn push(&self, text: &str, records: &[Record]) {
         let keys = records.iter().map(|r| String::from_utf8_lossy(&r.key));
         let keys: Vec<_> = keys.collect();
@@ -62,7 +62,7 @@
     }
 }
 
-impl Follower for Heard {
+impl Follower for CallLog {
     fn apply(&self, record: Record) {
         self.push("take", &[record]);
     }
@@ -80,25 +80,25 @@
     }
 }
 
-/// Guards against an entry that passes on what it knew before an outage although the store has newer records: pages of
-/// the backlog come one after the other, the newest records at once.
+/// Guards against an entry that passes on outdated state after an outage of the store: reading the backlog page by page
+/// would apply old records first, so the newest record of each key has to be read at once.
 #[test]
 fn outage_ends_with_newest() {
     run_local(async {
         let store = FlakyStore::default();
-        let heard = Rc::new(Heard::default());
+        let calls = Rc::new(CallLog::default());
         let topic = Topic::Endpoints;
         store.store.write(topic, "a", "1");
-        tokio::task::spawn_local(follow(store.clone(), topic, Millis::ZERO, heard.clone()));
+        tokio::task::spawn_local(follow(store.clone(), topic, Millis::ZERO, calls.clone()));
         tokio::time::sleep(Millis(60).duration()).await;
-        store.away.set(true);
+        store.unavailable.set(true);
         for key in ["b", "c", "d"] {
             store.store.write(topic, key, "1");
         }
         tokio::time::sleep(Millis(2500).duration()).await;
-        store.away.set(false);
+        store.unavailable.set(false);
         tokio::time::sleep(Millis(600).duration()).await;
-        let heard = heard.0.borrow();
-        assert_eq!(*heard, ["replace a", "regained ", "replace a,b,c,d"]);
+        let calls = calls.0.borrow();
+        assert_eq!(*calls, ["replace a", "regained ", "replace a,b,c,d"]);
     });
 }
