--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -47,8 +47,8 @@
         Millis::ZERO
     }
 
-    /// Completes when a read that waits for new records must be abandoned and issued again, because the store changed
-    /// in a way that does not end the wait.
+    /// Completes when a waiting read must be abandoned and issued again, because there may be records that would not end
+    /// its wait, for example after the read of another topic found the store to be back.
     fn read_interrupted(&self) -> impl Future<Output = ()> {
         std::future::pending()
     }
