--- a/src/decide/claim/memory.rs
+++ b/src/decide/claim/body_cache.rs
@@ -1,4 +1,4 @@
-//! Bodies of outcomes that are too large for the log.
+//! Cache of response bodies that are too large for the log.
 
 use std::collections::VecDeque;
 
@@ -6,23 +6,23 @@
 
 use crate::base::{HashMap, RequestId};
 
-/// Memory for bodies, in bytes; older ones are dropped first.
+/// Largest total size of the cached bodies, in bytes; the oldest are evicted first.
 const BYTES_MAX: usize = 64 << 20;
 
-/// Bodies kept at once.
+/// Largest number of cached bodies.
 const BODIES_MAX: usize = 4096;
 
-/// Bounded store of bodies.
+/// Response bodies by request id, bounded in number and total size.
 #[derive(Debug, Default)]
-pub(super) struct Memory {
+pub(super) struct BodyCache {
     bodies: HashMap<RequestId, Bytes>,
-    /// Oldest first; same members as `bodies`.
+    /// Keys of `bodies`, oldest first.
     order: VecDeque<RequestId>,
-    /// Sum of the sizes of `bodies`; at most [`BYTES_MAX`].
+    /// Total size of `bodies` in bytes; at most [`BYTES_MAX`].
     size: usize,
 }
 
-impl Memory {
+impl BodyCache {
     pub(super) fn get(&self, id: &RequestId) -> Option<Bytes> {
         self.bodies.get(id).cloned()
     }
--- a/src/decide/claim/outbox.rs
+++ b/src/decide/claim/outbox.rs
@@ -1,4 +1,4 @@
-//! Records that wait for an append: one append is in flight while the next batch gathers.
+//! Records that wait for an append. One append is in flight at a time, while the next batch collects.
 
 use std::collections::VecDeque;
 
@@ -7,15 +7,15 @@
     kernel::{Body, Claim, Done, Record, Void},
 };
 
-/// Claims or voids in one record; below the size limit of a record with the longest names.
+/// Claims or voids in one record; keeps the record within its size limit even with the longest names.
 const BATCH_MAX: usize = 512;
 
-/// Outcomes in one record; below the size limit of a record with the largest bodies.
-const DONE_MAX: usize = 48;
+/// Outcomes in one record; keeps the record within its size limit even with the largest bodies.
+const OUTCOMES_MAX: usize = 48;
 
 /// The append in flight.
 #[derive(Clone, Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlight {
     pub(super) record: Record,
     pub(super) since: Millis,
 }
@@ -25,25 +25,25 @@
 pub(super) struct Outbox {
     voids: VecDeque<Void>,
     claims: VecDeque<Claim>,
-    dones: VecDeque<Done>,
-    /// Voids and outcomes whose append failed; they are appended again with the same record id.
+    outcomes: VecDeque<Done>,
+    /// Records of voids and outcomes whose append failed; they are appended again under the same record id.
     retries: VecDeque<Record>,
-    /// When the oldest member of the current batch was added.
+    /// Time at which the oldest item of the current batch was added.
     since: Option<Millis>,
-    /// Whether claims were appended last, so that outcomes are next.
-    turn: bool,
-    pub(super) flight: Option<Flight>,
+    /// Whether the last batch had claims, so that outcomes are next.
+    claims_last: bool,
+    pub(super) in_flight: Option<InFlight>,
 }
 
 impl Outbox {
-    /// Returns the number of voids and outcomes that wait.
+    /// Returns the number of voids and outcomes that wait for an append.
     pub(super) fn backlog(&self) -> usize {
         let retries = self.retries.iter().map(|r| match &r.body {
             Body::Voids(b) => b.len(),
             Body::Done(b) => b.len(),
             _ => 0,
         });
-        self.voids.len() + self.dones.len() + retries.sum::<usize>()
+        self.voids.len() + self.outcomes.len() + retries.sum::<usize>()
     }
 
     pub(super) fn claim(&mut self, now: Millis, claim: Claim) {
@@ -58,22 +58,22 @@
 
     pub(super) fn done(&mut self, now: Millis, done: Done) {
         self.since.get_or_insert(now);
-        self.dones.push_back(done);
+        self.outcomes.push_back(done);
     }
 
-    /// Removes a claim that was not appended yet.
-    pub(super) fn withdraw(&mut self, id: &RequestId) {
+    /// Removes the claim of a request from the queue; a claim that an append has taken stays.
+    pub(super) fn remove_claim(&mut self, id: &RequestId) {
         self.claims.retain(|c| c.request != *id);
     }
 
-    /// Keeps a failed record for another append; its id stays, so that it applies once.
+    /// Queues a record for another append; it keeps its id, so that it takes effect only once.
     pub(super) fn retry(&mut self, record: Record) {
         self.retries.push_back(record);
     }
 
-    /// Returns when the next batch is due.
+    /// Returns the time at which the next batch is due; `None` while an append is in flight or nothing waits.
     pub(super) fn due(&self, linger: Millis) -> Option<Millis> {
-        if self.flight.is_some() {
+        if self.in_flight.is_some() {
             return None;
         }
         if !self.retries.is_empty() || self.claims.len() >= BATCH_MAX {
@@ -82,40 +82,42 @@
         self.since.map(|t| t + linger)
     }
 
-    /// Takes the next batch and puts it in flight.
-    pub(super) fn take(&mut self, now: Millis) -> Option<Record> {
+    /// Removes the next batch from the queue and marks it as in flight.
+    pub(super) fn start_append(&mut self, now: Millis) -> Option<Record> {
         let record = match self.retries.pop_front() {
             Some(record) => record,
             None => Record::new(self.batch()?),
         };
-        if self.voids.is_empty() && self.claims.is_empty() && self.dones.is_empty() {
+        if self.voids.is_empty() && self.claims.is_empty() && self.outcomes.is_empty() {
             self.since = None;
         }
-        self.flight = Some(Flight {
+        self.in_flight = Some(InFlight {
             record: record.clone(),
             since: now,
         });
         Some(record)
     }
 
-    /// Voids precede claims, because a claim of a later attempt needs the voids of the earlier ones.
+    /// Removes the next batch from the queue.
+    ///
+    /// Voids go before claims, because a claim of a later attempt is valid only after the voids of the earlier ones.
     fn batch(&mut self) -> Option<Body> {
         if !self.voids.is_empty() {
             let n = self.voids.len().min(BATCH_MAX);
             return Some(Body::Voids(self.voids.drain(..n).collect()));
         }
-        let claims = !self.claims.is_empty() && (self.dones.is_empty() || !self.turn);
-        self.turn = claims;
+        let claims = !self.claims.is_empty() && (self.outcomes.is_empty() || !self.claims_last);
+        self.claims_last = claims;
         if claims {
             let n = self.claims.len().min(BATCH_MAX);
             return Some(Body::Claims(self.claims.drain(..n).collect()));
         }
-        let n = self.dones.len().min(DONE_MAX);
-        (n > 0).then(|| Body::Done(self.dones.drain(..n).collect()))
+        let n = self.outcomes.len().min(OUTCOMES_MAX);
+        (n > 0).then(|| Body::Done(self.outcomes.drain(..n).collect()))
     }
 
-    /// Ends the flight of a record.
-    pub(super) fn land(&mut self, id: RecordId) -> Option<Flight> {
-        self.flight.take_if(|f| f.record.id == id)
+    /// Returns the append in flight if it has this record id, and marks it as ended.
+    pub(super) fn end_append(&mut self, id: RecordId) -> Option<InFlight> {
+        self.in_flight.take_if(|f| f.record.id == id)
     }
 }
--- a/src/decide/claim/resolve.rs
+++ b/src/decide/claim/resolve.rs
@@ -1,39 +1,41 @@
-//! What the claims table says of a request or an attempt.
+//! Replies that follow from the claims table, as far as the log has been read.
 
-use super::{memory::Memory, Verdict};
+use super::{body_cache::BodyCache, Verdict};
 use crate::{
     base::{Attempt, Digest, Instance, Millis, ProcessName, RequestId},
     kernel::{ClaimState, Kernel, Outcome},
     wire::{NotRun, RunOutcome, SettleReply},
 };
 
-/// The process that asks.
+/// Name and instance of this agent's process.
 #[derive(Clone, Debug)]
-pub(super) struct Own {
+pub(super) struct Identity {
     pub(super) holder: ProcessName,
     pub(super) instance: Instance,
 }
 
-/// Returns the answer to a request that is not in hand, or `None` if its attempt can be claimed.
-pub(super) fn request(
+/// Returns the reply to a request that is not in progress here, or `None` if its attempt can be claimed.
+pub(super) fn request_verdict(
     kernel: &Kernel,
-    memory: &Memory,
-    own: &Own,
+    bodies: &BodyCache,
+    own: &Identity,
     id: &RequestId,
     digest: Digest,
     attempt: Attempt,
 ) -> Option<Verdict> {
     let not_run = |reason| Some(Verdict::Failed(RunOutcome::NotRun(reason)));
     let Some((latest, state, known)) = kernel.claims().get(id) else {
-        return expired(kernel, id).then(|| Verdict::Failed(RunOutcome::NotRun(NotRun::Expired)));
+        return is_expired(kernel, id)
+            .then(|| Verdict::Failed(RunOutcome::NotRun(NotRun::Expired)));
     };
     if known.is_some_and(|d| d != digest) {
         return not_run(NotRun::Digest);
     }
     match state {
-        ClaimState::Done(outcome) => Some(done(memory, id, outcome)),
+        ClaimState::Done(outcome) => Some(done_verdict(bodies, id, outcome)),
         ClaimState::Claimed { holder, instance } => Some(Verdict::Failed(
-            // A former run of this agent can no longer bring an outcome, nor can this one if the request is not in hand.
+            // A previous process of this agent can no longer record an outcome; neither can this process if the request
+            // is not in progress.
             if *holder == own.holder || *instance == own.instance {
                 RunOutcome::MayHaveRun
             } else {
@@ -47,19 +49,19 @@
     }
 }
 
-/// Returns whether an id is certainly older than the window.
+/// Returns whether a request id is certainly older than the window in which the kernel remembers ids.
 ///
-/// Log time advances only with records, so that an id that seems to lie ahead is left to the kernel.
-pub(super) fn expired(kernel: &Kernel, id: &RequestId) -> bool {
+/// The log's time advances only with its records, so an id that seems to lie in the future is left to the kernel.
+pub(super) fn is_expired(kernel: &Kernel, id: &RequestId) -> bool {
     let ahead = id.created_ms().is_some_and(|t| Millis(t) > kernel.time());
     !ahead && kernel.claims().is_expired(kernel.time(), id)
 }
 
-/// Returns the answer of a finished request.
-pub(super) fn done(memory: &Memory, id: &RequestId, outcome: &Outcome) -> Verdict {
+/// Returns the reply to a request whose outcome is recorded.
+pub(super) fn done_verdict(bodies: &BodyCache, id: &RequestId, outcome: &Outcome) -> Verdict {
     let body = match &outcome.body {
         Some(body) => Some(body.clone().into()),
-        None => memory.get(id).filter(|b| Digest::of(b) == outcome.digest),
+        None => bodies.get(id).filter(|b| Digest::of(b) == outcome.digest),
     };
     match body {
         Some(body) => Verdict::Done {
@@ -67,15 +69,15 @@
             media: outcome.media.clone(),
             body,
         },
-        // Another agent has the body.
+        // The body is too large for the log, and only the agent that ran the request may have it.
         None => Verdict::Failed(RunOutcome::MayHaveRun),
     }
 }
 
-/// Returns the fate of an attempt, or `None` if no record decides it yet.
-pub(super) fn attempt(
+/// Returns the outcome of an attempt, or `None` if no record decides it yet.
+pub(super) fn attempt_outcome(
     kernel: &Kernel,
-    memory: &Memory,
+    bodies: &BodyCache,
     id: &RequestId,
     attempt: Attempt,
 ) -> Option<SettleReply> {
@@ -91,21 +93,21 @@
         ClaimState::Claimed { holder, .. } => SettleReply::Claimed {
             holder: holder.clone(),
         },
-        ClaimState::Done(outcome) => settled(memory, id, outcome),
+        ClaimState::Done(outcome) => done_reply(bodies, id, outcome),
     })
 }
 
-/// Returns the reply for an attempt that ran, with its body if this agent has it.
-pub(super) fn settled(memory: &Memory, id: &RequestId, outcome: &Outcome) -> SettleReply {
+/// Returns the settlement of an attempt that ran, with the response body if this agent has it.
+pub(super) fn done_reply(bodies: &BodyCache, id: &RequestId, outcome: &Outcome) -> SettleReply {
     let mut outcome = outcome.clone();
     if outcome.body.is_none() {
-        outcome.body = memory.get(id).map(Vec::from);
+        outcome.body = bodies.get(id).map(Vec::from);
     }
     SettleReply::Done(outcome)
 }
 
-/// Returns the latest void attempt of a request, or `None` if an attempt is claimed.
-pub(super) fn void_up_to(kernel: &Kernel, id: &RequestId) -> Option<Attempt> {
+/// Returns the latest void attempt of a request (0 if there is none), or `None` if an attempt is claimed.
+pub(super) fn latest_void(kernel: &Kernel, id: &RequestId) -> Option<Attempt> {
     match kernel.claims().get(id) {
         None => Some(Attempt(0)),
         Some((latest, ClaimState::Void, _)) => Some(latest),
@@ -113,8 +115,8 @@
     }
 }
 
-/// Returns the attempt of a request that this run of the process has claimed, if it is the latest one.
-pub(super) fn holds(kernel: &Kernel, own: &Own, id: &RequestId) -> Option<Attempt> {
+/// Returns the latest attempt of a request if this process has claimed it.
+pub(super) fn claimed_attempt(kernel: &Kernel, own: &Identity, id: &RequestId) -> Option<Attempt> {
     match kernel.claims().get(id)? {
         (latest, ClaimState::Claimed { instance, .. }, _) if *instance == own.instance => {
             Some(latest)
--- a/src/decide/claim/runner.rs
+++ b/src/decide/claim/runner.rs
@@ -1,10 +1,10 @@
-//! The state machine.
+//! State machine of the claim runner.
 
 use super::{
-    memory::Memory,
-    outbox::Outbox,
-    resolve::{self, Own},
-    work::{Phase, Settle, Work},
+    body_cache::BodyCache,
+    outbox::{InFlight, Outbox},
+    pending::{PendingRequest, PendingSettle, Phase},
+    resolve::{self, Identity},
     Action, AppendResult, RunResult, Submission, Ticket, Timing, Verdict, APPEND_BACKOFF,
     PRIOR_VOIDS_MAX, REQUESTS_MAX, WAITERS_MAX,
 };
@@ -17,28 +17,33 @@
     wire::{NotRun, RunOutcome, SettleReply},
 };
 
-/// Claims attempts, runs them once and records their outcomes; `P` is what is needed to run a request.
+/// Claims attempts, runs them once and records their outcomes.
+///
+/// `P` is the data that the driver needs to run a request.
 #[derive(Debug)]
 pub struct ClaimRunner<P> {
-    pub(super) rules: Timing,
-    pub(super) own: Own,
-    /// Instance of voids on behalf of others. It differs from the claiming instance, whose voids also undo its claims.
-    pub(super) settler: Instance,
+    pub(super) timing: Timing,
+    pub(super) own: Identity,
+    /// Instance in void records that settle attempts of other agents. It differs from the instance of claims, whose
+    /// void records also cancel its own claims.
+    pub(super) settle_instance: Instance,
     pub(super) kernel: Kernel,
     /// At most [`REQUESTS_MAX`].
-    pub(super) works: HashMap<RequestId, Work<P>>,
+    pub(super) requests: HashMap<RequestId, PendingRequest<P>>,
     /// At most [`REQUESTS_MAX`].
-    pub(super) settles: Vec<Settle>,
-    /// Attempts that were claimed and given up, until their void is read back; at most [`REQUESTS_MAX`] and those in hand.
-    pub(super) given_up: HashSet<(RequestId, Attempt)>,
+    pub(super) settles: Vec<PendingSettle>,
+    /// Claimed attempts that were abandoned, until their void record is read back; at most [`REQUESTS_MAX`] plus the
+    /// requests in progress.
+    pub(super) abandoned: HashSet<(RequestId, Attempt)>,
     pub(super) outbox: Outbox,
-    pub(super) memory: Memory,
-    /// Whether the stream can be read.
+    pub(super) bodies: BodyCache,
+    /// Whether the claims stream can be read and has been read to its end once.
     pub(super) reachable: bool,
-    /// Time until which appends are not tried, because the log refused one.
-    pub(super) blocked: Millis,
-    /// No deadline or time limit lies before this time.
-    pub(super) alarm: Millis,
+    /// Time until which no append is tried, because one has failed.
+    pub(super) blocked_until: Millis,
+    /// Lower bound of all deadlines and time limits; `Millis::MAX` if there is none.
+    pub(super) next_timeout: Millis,
+    /// Actions for the next [`ClaimRunner::poll`].
     pub(super) out: Vec<Action<P>>,
 }
 
@@ -53,95 +58,98 @@
 }
 
 impl<P> ClaimRunner<P> {
-    /// Creates a runner that has read nothing yet; `kernel` is the state before the first retained record.
-    pub fn new(holder: ProcessName, instance: Instance, kernel: Kernel, rules: Timing) -> Self {
+    /// Creates a runner that has read no record yet; `kernel` is the state before the first retained record.
+    pub fn new(holder: ProcessName, instance: Instance, kernel: Kernel, timing: Timing) -> Self {
         Self {
-            rules,
-            own: Own { holder, instance },
-            settler: Instance(!instance.0),
+            timing,
+            own: Identity { holder, instance },
+            settle_instance: Instance(!instance.0),
             kernel,
-            works: HashMap::default(),
+            requests: HashMap::default(),
             settles: Vec::new(),
-            given_up: HashSet::default(),
+            abandoned: HashSet::default(),
             outbox: Outbox::default(),
-            memory: Memory::default(),
+            bodies: BodyCache::default(),
             reachable: false,
-            blocked: Millis::ZERO,
-            alarm: Millis::MAX,
+            blocked_until: Millis::ZERO,
+            next_timeout: Millis::MAX,
             out: Vec::new(),
         }
     }
 
-    /// Notes that the stream lost its beginning before this process read it.
+    /// Tells the kernel that the log deleted the oldest records of the claims stream before this process read them.
     pub fn set_truncated(&mut self) {
         self.kernel.set_truncated();
     }
 
-    /// Takes over changed settings.
-    pub fn set_timing(&mut self, rules: Timing) {
-        self.rules = rules;
+    /// Sets the time limits.
+    pub fn set_timing(&mut self, timing: Timing) {
+        self.timing = timing;
     }
 
-    /// Returns the number of requests in hand and of records that wait for an append.
+    /// Returns the number of requests in progress plus that of voids and outcomes that wait for an append.
     pub fn pending(&self) -> usize {
-        self.works.len() + self.outbox.backlog()
+        self.requests.len() + self.outbox.backlog()
     }
 
-    /// Returns the claims as far as they were read.
+    /// Returns the kernel with the claims that were read so far.
     pub fn kernel(&self) -> &Kernel {
         &self.kernel
     }
 
+    /// Returns whether new claims cannot be appended and read back now.
     pub(super) fn is_blocked(&self, now: Millis) -> bool {
-        let hangs = |f: &super::outbox::Flight| f.since + self.rules.readback <= now;
-        !self.reachable || now < self.blocked || self.outbox.flight.as_ref().is_some_and(hangs)
+        let hangs = |f: &InFlight| f.since + self.timing.readback <= now;
+        !self.reachable
+            || now < self.blocked_until
+            || self.outbox.in_flight.as_ref().is_some_and(hangs)
     }
 
-    pub(super) fn alarm_at(&mut self, time: Millis) {
-        self.alarm = self.alarm.min(time);
+    pub(super) fn schedule_timeout(&mut self, time: Millis) {
+        self.next_timeout = self.next_timeout.min(time);
     }
 
-    pub(super) fn answer(&mut self, ticket: Ticket, verdict: impl Into<Verdict>) {
+    pub(super) fn reply(&mut self, ticket: Ticket, verdict: impl Into<Verdict>) {
         self.out.push(Action::Reply(ticket, verdict.into()));
     }
 
-    /// Takes a request; its answer may be among the next actions.
+    /// Submits a request; the reply may be among the next actions.
     pub fn submit(&mut self, now: Millis, ticket: Ticket, s: Submission<P>) {
-        if let Some(work) = self.works.get_mut(&s.id) {
-            let verdict = match &work.phase {
-                _ if work.digest != s.digest => not_run(NotRun::Digest),
-                Phase::Recorded(outcome) => resolve::done(&self.memory, &s.id, outcome),
-                _ if work.attempt != s.attempt || work.waiters.len() >= WAITERS_MAX => {
+        if let Some(request) = self.requests.get_mut(&s.id) {
+            let verdict = match &request.phase {
+                _ if request.digest != s.digest => not_run(NotRun::Digest),
+                Phase::Recorded(outcome) => resolve::done_verdict(&self.bodies, &s.id, outcome),
+                _ if request.attempt != s.attempt || request.waiters.len() >= WAITERS_MAX => {
                     Verdict::Failed(RunOutcome::InProgress {
                         holder: self.own.holder.clone(),
                     })
                 }
                 _ => {
-                    work.waiters.push((ticket, s.deadline));
-                    return self.alarm_at(s.deadline);
+                    request.waiters.push((ticket, s.deadline));
+                    return self.schedule_timeout(s.deadline);
                 }
             };
-            return self.answer(ticket, verdict);
+            return self.reply(ticket, verdict);
         }
-        let (kernel, memory) = (&self.kernel, &self.memory);
-        let known = resolve::request(kernel, memory, &self.own, &s.id, s.digest, s.attempt);
-        // The table shows an own claim as possibly run until its void is read back.
+        let (kernel, bodies) = (&self.kernel, &self.bodies);
+        let known = resolve::request_verdict(kernel, bodies, &self.own, &s.id, s.digest, s.attempt);
+        // The claims table shows this agent's claim as possibly run until the void record is read back.
         let open = matches!(known, None | Some(Verdict::Failed(RunOutcome::MayHaveRun)));
-        if open && self.given_up.contains(&(s.id, s.attempt)) {
-            return self.answer(ticket, RunOutcome::NotRun(NotRun::Log));
+        if open && self.abandoned.contains(&(s.id, s.attempt)) {
+            return self.reply(ticket, RunOutcome::NotRun(NotRun::Log));
         }
         if let Some(verdict) = known {
-            return self.answer(ticket, verdict);
+            return self.reply(ticket, verdict);
         }
         if let Some(reason) = s.refusal {
-            return self.answer(ticket, RunOutcome::NotRun(reason));
+            return self.reply(ticket, RunOutcome::NotRun(reason));
         }
         if self.is_blocked(now) {
-            return self.answer(ticket, RunOutcome::NotRun(NotRun::Log));
+            return self.reply(ticket, RunOutcome::NotRun(NotRun::Log));
         }
-        let full = self.pending() + self.given_up.len() >= REQUESTS_MAX;
+        let full = self.pending() + self.abandoned.len() >= REQUESTS_MAX;
         if full || !self.void_prior(now, &s.id, s.attempt) {
-            return self.answer(ticket, RunOutcome::NotRun(NotRun::Busy));
+            return self.reply(ticket, RunOutcome::NotRun(NotRun::Busy));
         }
         self.claim(now, ticket, s);
     }
@@ -157,29 +165,30 @@
                 instance: self.own.instance,
             },
         );
-        self.alarm_at((now + self.rules.readback).min(s.deadline));
-        let work = Work {
+        self.schedule_timeout((now + self.timing.readback).min(s.deadline));
+        let request = PendingRequest {
             attempt: s.attempt,
             digest: s.digest,
             phase: Phase::Queued(now),
             payload: Some(s.payload),
             waiters: vec![(ticket, s.deadline)],
         };
-        self.works.insert(s.id, work);
+        self.requests.insert(s.id, request);
     }
 
-    /// Voids earlier attempts that no record names, because the kernel accepts attempts only in order.
+    /// Voids the earlier attempts that no record decides yet, because the kernel accepts attempts only in order.
     ///
-    /// Returns `false` if an earlier attempt is claimed or too many are missing.
+    /// Returns `false` if an attempt is claimed, or if `attempt` is more than [`PRIOR_VOIDS_MAX`] after the latest void
+    /// one.
     fn void_prior(&mut self, now: Millis, id: &RequestId, attempt: Attempt) -> bool {
-        let Some(Attempt(last)) = resolve::void_up_to(&self.kernel, id) else {
+        let Some(Attempt(last)) = resolve::latest_void(&self.kernel, id) else {
             return false;
         };
         if attempt.0 == 0 || attempt.0 > last.saturating_add(PRIOR_VOIDS_MAX) {
             return false;
         }
         for prior in last + 1..attempt.0 {
-            self.void(now, *id, Attempt(prior), self.settler);
+            self.void(now, *id, Attempt(prior), self.settle_instance);
         }
         true
     }
@@ -193,7 +202,8 @@
         self.outbox.void(now, void);
     }
 
-    /// Decides the fate of an attempt; the answer may be among the next actions.
+    /// Settles an attempt whose agent was lost, that is, determines its final outcome: an attempt without a claim
+    /// becomes void. The reply may be among the next actions.
     pub fn settle(
         &mut self,
         now: Millis,
@@ -202,15 +212,15 @@
         attempt: Attempt,
         deadline: Millis,
     ) {
-        let known = resolve::attempt(&self.kernel, &self.memory, &id, attempt);
-        let in_hand = self.works.get(&id).filter(|w| w.attempt == attempt);
-        let in_hand = in_hand.map(|w| match &w.phase {
-            Phase::Recorded(outcome) => resolve::settled(&self.memory, &id, outcome),
+        let known = resolve::attempt_outcome(&self.kernel, &self.bodies, &id, attempt);
+        let pending = self.requests.get(&id).filter(|w| w.attempt == attempt);
+        let pending = pending.map(|w| match &w.phase {
+            Phase::Recorded(outcome) => resolve::done_reply(&self.bodies, &id, outcome),
             _ => SettleReply::Claimed {
                 holder: self.own.holder.clone(),
             },
         });
-        let reply = match in_hand.or(known) {
+        let reply = match pending.or(known) {
             Some(reply) => reply,
             None => {
                 let full = self.settles.len() + self.outbox.backlog() >= REQUESTS_MAX
@@ -218,86 +228,89 @@
                 if full || !self.void_prior(now, &id, attempt) {
                     return self.out.push(Action::Settled(ticket, SettleReply::Unknown));
                 }
-                self.void(now, id, attempt, self.settler);
-                self.settles.push(Settle {
+                self.void(now, id, attempt, self.settle_instance);
+                self.settles.push(PendingSettle {
                     ticket,
                     id,
                     attempt,
                     deadline,
                 });
-                return self.alarm_at(deadline);
+                return self.schedule_timeout(deadline);
             }
         };
         self.out.push(Action::Settled(ticket, reply));
     }
 
-    /// Takes the result of the append in flight.
-    pub fn complete_append(&mut self, now: Millis, id: RecordId, end: AppendResult) {
-        let Some(flight) = self.outbox.land(id) else {
+    /// Applies the result of the append in flight.
+    pub fn complete_append(&mut self, now: Millis, id: RecordId, result: AppendResult) {
+        let Some(append) = self.outbox.end_append(id) else {
             return;
         };
-        match (end, flight.record.body) {
+        match (result, append.record.body) {
             (AppendResult::Appended, _) => {}
             (_, Body::Claims(claims)) => {
                 for c in &claims {
-                    self.lost(now, c, id, end);
+                    self.fail_claim(now, c, id, result);
                 }
             }
             (_, body) => self.outbox.retry(Record { id, body }),
         }
-        if end != AppendResult::Appended {
-            self.block(now);
+        if result != AppendResult::Appended {
+            self.block_appends(now);
         }
     }
 
-    /// Gives up a claim whose append failed, unless it was read back already.
-    fn lost(&mut self, now: Millis, c: &Claim, record: RecordId, end: AppendResult) {
-        let waits = |w: &Work<P>| matches!(w.phase, Phase::Sent(r, _) if r == record);
-        if !self.works.get(&c.request).is_some_and(waits) {
+    /// Ends the request of a claim whose append failed, unless the claim was read back already.
+    fn fail_claim(&mut self, now: Millis, c: &Claim, record: RecordId, result: AppendResult) {
+        let waits = |w: &PendingRequest<P>| matches!(w.phase, Phase::Sent(r, _) if r == record);
+        if !self.requests.get(&c.request).is_some_and(waits) {
             return;
         }
-        if end == AppendResult::Refused {
-            self.end(&c.request, RunOutcome::NotRun(NotRun::Log));
+        if result == AppendResult::Refused {
+            self.finish(&c.request, RunOutcome::NotRun(NotRun::Log));
         } else {
-            self.give_up(now, &c.request);
+            self.abandon(now, &c.request);
         }
     }
 
-    /// Decides not to run a claim that may be in the log; no other process can run it.
-    pub(super) fn give_up(&mut self, now: Millis, id: &RequestId) {
-        let Some(attempt) = self.works.get(id).map(|w| w.attempt) else {
+    /// Abandons a claim that may be in the log: the request is not run, and a void record cancels the claim. No other
+    /// process can run the attempt.
+    pub(super) fn abandon(&mut self, now: Millis, id: &RequestId) {
+        let Some(attempt) = self.requests.get(id).map(|w| w.attempt) else {
             return;
         };
         self.void(now, *id, attempt, self.own.instance);
-        self.given_up.insert((*id, attempt));
-        self.end(id, RunOutcome::NotRun(NotRun::Log));
+        self.abandoned.insert((*id, attempt));
+        self.finish(id, RunOutcome::NotRun(NotRun::Log));
     }
 
-    /// Ends a request and answers everybody who waits for it.
-    pub(super) fn end(&mut self, id: &RequestId, verdict: impl Into<Verdict>) {
+    /// Ends a request and replies to all callers that wait for it.
+    pub(super) fn finish(&mut self, id: &RequestId, verdict: impl Into<Verdict>) {
         let verdict = verdict.into();
-        let Some(work) = self.works.remove(id) else {
+        let Some(request) = self.requests.remove(id) else {
             return;
         };
-        for (ticket, _) in work.waiters {
-            self.answer(ticket, verdict.clone());
+        for (ticket, _) in request.waiters {
+            self.reply(ticket, verdict.clone());
         }
     }
 
-    /// Refuses what waits for an append; nothing of it is in the log.
-    fn block(&mut self, now: Millis) {
-        self.blocked = now + APPEND_BACKOFF;
-        self.alarm_at(self.blocked);
-        self.refuse_queued();
+    /// Stops appends for [`APPEND_BACKOFF`] and rejects requests whose claims wait; none of these is in the log.
+    fn block_appends(&mut self, now: Millis) {
+        self.blocked_until = now + APPEND_BACKOFF;
+        self.schedule_timeout(self.blocked_until);
+        self.reject_queued();
     }
 
-    fn refuse_queued(&mut self) {
-        let queued =
-            |(id, w): (&RequestId, &Work<P>)| matches!(w.phase, Phase::Queued(_)).then_some(*id);
-        let queued: Vec<_> = self.works.iter().filter_map(queued).collect();
+    /// Rejects requests whose claims wait for an append, and all settlements.
+    fn reject_queued(&mut self) {
+        let queued = |(id, w): (&RequestId, &PendingRequest<P>)| {
+            matches!(w.phase, Phase::Queued(_)).then_some(*id)
+        };
+        let queued: Vec<_> = self.requests.iter().filter_map(queued).collect();
         for id in queued {
-            self.outbox.withdraw(&id);
-            self.end(&id, RunOutcome::NotRun(NotRun::Log));
+            self.outbox.remove_claim(&id);
+            self.finish(&id, RunOutcome::NotRun(NotRun::Log));
         }
         for s in std::mem::take(&mut self.settles) {
             self.out
@@ -305,24 +318,24 @@
         }
     }
 
-    /// Takes note whether the stream can be read and has been read to its end once.
+    /// Sets whether the claims stream can be read and has been read to its end once; until then requests are rejected.
     pub fn set_reachable(&mut self, reachable: bool) {
         if self.reachable && !reachable {
-            self.refuse_queued();
+            self.reject_queued();
         }
         self.reachable = reachable;
     }
 
-    /// Returns whether the stream can be read and has been read to its end once.
+    /// Returns whether the claims stream can be read and has been read to its end once.
     pub fn is_reachable(&self) -> bool {
         self.reachable
     }
 
-    /// Applies a record that was read.
+    /// Applies a record that was read from the log.
     ///
     /// # Errors
     ///
-    /// Returns the kernel's refusal; the state is unchanged.
+    /// Returns the kernel's refusal of the record; the state is unchanged.
     pub fn apply(&mut self, now: Millis, entry: &Entry) -> Result<(), Refusal> {
         let step = self.kernel.apply(entry)?;
         let Ok(record) = Record::decode(&entry.data) else {
@@ -335,7 +348,7 @@
         }
         if let Body::Voids(voids) = &record.body {
             for v in voids.iter().filter(|v| v.instance == self.own.instance) {
-                self.given_up.remove(&(v.request, v.attempt));
+                self.abandoned.remove(&(v.request, v.attempt));
             }
         }
         let ids: Vec<_> = match &record.body {
@@ -345,44 +358,45 @@
             Body::Publish(_) | Body::Lease(_) | Body::Window(_) => Vec::new(),
         };
         for id in &ids {
-            self.refresh(id);
+            self.end_waiting(id);
         }
         Ok(())
     }
 
-    /// Takes the read-back of a claim; only this starts runs.
+    /// Handles the read-back of a claim. A run starts only here.
     fn read_back(&mut self, now: Millis, record: RecordId, claim: &Claim, first: bool) {
         let id = claim.request;
-        let Some(work) = self.works.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Phase::Sent(sent, since) = work.phase else {
+        let Phase::Sent(sent, since) = request.phase else {
             return;
         };
         if sent != record || claim.instance != self.own.instance {
             return;
         }
         if !first {
-            let (kernel, memory, own) = (&self.kernel, &self.memory, &self.own);
-            let verdict = resolve::request(kernel, memory, own, &id, claim.digest, claim.attempt);
-            // The log's time is that of the claim here, so that ids that lie ahead are found too.
+            let (kernel, bodies, own) = (&self.kernel, &self.bodies, &self.own);
+            let verdict =
+                resolve::request_verdict(kernel, bodies, own, &id, claim.digest, claim.attempt);
+            // The log's time is that of the claim here, so this also finds ids that seemed to lie in the future.
             let expired = kernel.claims().is_expired(kernel.time(), &id);
             let reason = if expired {
                 NotRun::Expired
             } else {
                 NotRun::Busy
             };
-            return self.end(&id, verdict.unwrap_or(not_run(reason)));
+            return self.finish(&id, verdict.unwrap_or(not_run(reason)));
         }
-        let deadline = work.waiters.iter().map(|(_, d)| *d).max();
+        let deadline = request.waiters.iter().map(|(_, d)| *d).max();
         let deadline = deadline.unwrap_or(Millis::ZERO);
-        if now >= deadline.min(since + self.rules.readback) {
-            return self.give_up(now, &id);
+        if now >= deadline.min(since + self.timing.readback) {
+            return self.abandon(now, &id);
         }
-        let Some(payload) = work.payload.take() else {
+        let Some(payload) = request.payload.take() else {
             return;
         };
-        work.phase = Phase::Running;
+        request.phase = Phase::Running;
         self.out.push(Action::Run {
             id,
             payload,
@@ -390,51 +404,53 @@
         });
     }
 
-    /// Ends what waited for a record of a request.
-    fn refresh(&mut self, id: &RequestId) {
-        let (kernel, memory) = (&self.kernel, &self.memory);
-        let fate = |attempt| resolve::attempt(kernel, memory, id, attempt);
-        let void = |attempt| fate(attempt) == Some(SettleReply::Void);
-        let own = resolve::holds(kernel, &self.own, id);
-        self.given_up
-            .retain(|(i, a)| i != id || own == Some(*a) || fate(*a).is_none());
+    /// Ends requests and settlements that waited for a record of this request.
+    fn end_waiting(&mut self, id: &RequestId) {
+        let (kernel, bodies) = (&self.kernel, &self.bodies);
+        let outcome_of = |attempt| resolve::attempt_outcome(kernel, bodies, id, attempt);
+        let void = |attempt| outcome_of(attempt) == Some(SettleReply::Void);
+        let claimed = resolve::claimed_attempt(kernel, &self.own, id);
+        self.abandoned
+            .retain(|(i, a)| i != id || claimed == Some(*a) || outcome_of(*a).is_none());
         let mut settled = Vec::new();
         self.settles.retain(|s| {
-            let reply = (s.id == *id).then(|| fate(s.attempt)).flatten();
+            let reply = (s.id == *id).then(|| outcome_of(s.attempt)).flatten();
             let waits = reply.is_none();
             settled.extend(reply.map(|r| Action::Settled(s.ticket, r)));
             waits
         });
-        let ended = self.works.get(id).and_then(|w| match &w.phase {
+        let ended = self.requests.get(id).and_then(|w| match &w.phase {
             Phase::Voiding(_) if void(w.attempt) => Some(not_run(NotRun::Endpoint)),
-            Phase::Recorded(outcome) if matches!(fate(w.attempt), Some(SettleReply::Done(_))) => {
-                Some(resolve::done(memory, id, outcome))
+            Phase::Recorded(outcome)
+                if matches!(outcome_of(w.attempt), Some(SettleReply::Done(_))) =>
+            {
+                Some(resolve::done_verdict(bodies, id, outcome))
             }
             _ => None,
         });
         self.out.extend(settled);
         if let Some(verdict) = ended {
-            self.end(id, verdict);
+            self.finish(id, verdict);
         }
     }
 
-    /// Takes the end of a run.
-    pub fn complete_run(&mut self, now: Millis, id: RequestId, end: RunResult) {
-        let Some(work) = self.works.get_mut(&id) else {
+    /// Applies the result of a run.
+    pub fn complete_run(&mut self, now: Millis, id: RequestId, result: RunResult) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if work.phase != Phase::Running {
+        if request.phase != Phase::Running {
             return;
         }
-        let attempt = work.attempt;
-        match end {
-            RunResult::Unknown => self.end(&id, RunOutcome::MayHaveRun),
+        let attempt = request.attempt;
+        match result {
+            RunResult::Unknown => self.finish(&id, RunOutcome::MayHaveRun),
             RunResult::NotSent => {
-                let until = now + self.rules.readback;
-                work.phase = Phase::Voiding(until);
-                self.given_up.insert((id, attempt));
+                let until = now + self.timing.readback;
+                request.phase = Phase::Voiding(until);
+                self.abandoned.insert((id, attempt));
                 self.void(now, id, attempt, self.own.instance);
-                self.alarm_at(until);
+                self.schedule_timeout(until);
             }
             RunResult::Responded {
                 status,
@@ -456,10 +472,10 @@
                     media,
                     body: body.clone(),
                 };
-                work.phase = Phase::Recorded(outcome.clone());
-                let waiters = std::mem::take(&mut work.waiters);
+                request.phase = Phase::Recorded(outcome.clone());
+                let waiters = std::mem::take(&mut request.waiters);
                 if !small {
-                    self.memory.insert(id, body);
+                    self.bodies.insert(id, body);
                 }
                 let done = Done {
                     request: id,
@@ -469,7 +485,7 @@
                 };
                 self.outbox.done(now, done);
                 for (ticket, _) in waiters {
-                    self.answer(ticket, verdict.clone());
+                    self.reply(ticket, verdict.clone());
                 }
             }
         }
--- a/src/decide/limit/share.rs
+++ b/src/decide/limit/share.rs
@@ -1,39 +1,39 @@
-//! Shares of a workspace's limits.
+//! Shares of a workspace's limits, which a coordinator grants to the entries of a region.
 
 use crate::base::{HashMap, Millis, ProcessName};
 
-/// Requests at once and requests a second, in thousandths.
+/// Limit or demand of a workspace: concurrent requests and request rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
-    /// Requests in progress at once.
+    /// Number of requests in progress at once.
     pub concurrency: u32,
-    /// Thousandths of requests a second.
+    /// Request rate, in thousandths of a request per second.
     pub rate: u64,
 }
 
-/// A granted share.
+/// A share and the time at which the grant ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Grant {
     share: Share,
     until: Millis,
 }
 
-/// The share that an entry uses.
+/// An entry's share of a workspace's limits.
 #[derive(Clone, Debug, Default)]
 pub struct ShareHolder {
     grant: Option<Grant>,
 }
 
 impl ShareHolder {
-    /// Takes over a grant.
+    /// Sets the grant, which is valid until the given time.
     pub fn set_grant(&mut self, share: Share, until: Millis) {
         self.grant = Some(Grant { share, until });
     }
 
-    /// Returns the share in force: the grant, or else an equal share of the limit.
+    /// Returns the share in force: the grant while it is valid, otherwise an equal share of the limit for each entry.
     pub fn share(&self, now: Millis, limit: Share, entries: u32) -> Share {
         match self.grant {
-            // A limit that was lowered since binds at once.
+            // A limit that was lowered after the grant applies at once.
             Some(g) if now < g.until => Share {
                 concurrency: g.share.concurrency.min(limit.concurrency),
                 rate: g.share.rate.min(limit.rate),
@@ -48,7 +48,7 @@
 
 /// Demand and grant of one entry.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct EntryDemand {
     demand: Share,
     grant: Grant,
 }
@@ -58,15 +58,16 @@
 /// The sum of valid grants never exceeds the limit that was in force when they were given.
 #[derive(Clone, Debug, Default)]
 pub struct SharePool {
-    claims: HashMap<ProcessName, Claim>,
+    demands: HashMap<ProcessName, EntryDemand>,
 }
 
 impl SharePool {
-    /// Answers an entry that reports its demand.
+    /// Grants a share for `lifetime` to an entry that reports its demand.
     ///
-    /// A share that others have to give up first becomes free with their own next report, or when their grant ends.
-    /// What nobody wants is split over all `entries`, also those that have not reported yet: otherwise the first one
-    /// would hold the whole limit, and the next ones would refuse requests until it reports again.
+    /// A share that other entries have to give up first becomes available with their own next report, or when their
+    /// grant ends. What no entry demands is split over all `entries`, including those that have not reported yet:
+    /// otherwise the first one would hold the whole limit, and the next ones would reject requests until it reports
+    /// again.
     pub fn grant(
         &mut self,
         now: Millis,
@@ -76,17 +77,17 @@
         lifetime: Millis,
         entries: u32,
     ) -> Share {
-        self.claims.retain(|_, c| c.grant.until > now);
+        self.demands.retain(|_, c| c.grant.until > now);
         let held = |f: fn(&Share) -> u64| -> u64 {
-            let others = self.claims.iter().filter(|(n, _)| *n != name);
+            let others = self.demands.iter().filter(|(n, _)| *n != name);
             others.map(|(_, c)| f(&c.grant.share)).sum()
         };
-        let wanted = |f: fn(&Share) -> u64| -> Vec<u64> {
-            let others = self.claims.iter().filter(|(n, _)| *n != name);
+        let demanded = |f: fn(&Share) -> u64| -> Vec<u64> {
+            let others = self.demands.iter().filter(|(n, _)| *n != name);
             others.map(|(_, c)| f(&c.demand)).collect()
         };
         let part = |limit: u64, f: fn(&Share) -> u64| {
-            let target = max_min(limit, f(&demand), wanted(f), entries);
+            let target = max_min_share(limit, f(&demand), demanded(f), entries);
             target.min(limit.saturating_sub(held(f)))
         };
         let share = Share {
@@ -97,30 +98,31 @@
             share,
             until: now + lifetime,
         };
-        self.claims.insert(name.clone(), Claim { demand, grant });
+        self.demands
+            .insert(name.clone(), EntryDemand { demand, grant });
         share
     }
 
     /// Returns whether no grant is valid.
     pub fn is_idle(&self, now: Millis) -> bool {
-        self.claims.values().all(|c| c.grant.until <= now)
+        self.demands.values().all(|c| c.grant.until <= now)
     }
 }
 
-/// Returns the max-min fair part of one claimant among others, with what nobody wants split evenly
+/// Returns the max-min fair share of one entry, given the demand of the others; what no entry demands is split evenly
 /// over all entries.
-fn max_min(limit: u64, own: u64, mut others: Vec<u64>, entries: u32) -> u64 {
+fn max_min_share(limit: u64, own: u64, mut others: Vec<u64>, entries: u32) -> u64 {
     others.push(own);
     others.sort_unstable();
     let mut left = limit;
     let count = others.len() as u64;
-    for (i, want) in others.iter().enumerate() {
+    for (i, demand) in others.iter().enumerate() {
         let level = left / (count - i as u64);
-        if *want >= level {
-            // From here on nobody gets all that it wants.
+        if *demand >= level {
+            // From this demand on, each entry gets `level`.
             return own.min(level);
         }
-        left -= want;
+        left -= demand;
     }
     own + left / count.max(entries.into())
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions as state machines without I/O.
+//! Decision logic as state machines without I/O: callers pass in events and the time, and carry out the actions.
 
 pub mod burst;
 pub mod chunk;
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,32 +1,34 @@
-//! What happens after an attempt brought no whole answer.
+//! Retry policy: what follows an attempt that brought no complete response.
 //!
-//! | loss | repeatable, nothing delivered | repeatable, tokens delivered | non-repeatable |
+//! | failure | repeatable, nothing delivered | repeatable, tokens delivered | non-repeatable |
 //! |---|---|---|---|
-//! | not sent, or the agent guarantees that it did not run | again | resume | again, same attempt number |
-//! | attempt is void | again | resume | again, next attempt number |
-//! | agent lost, answer cut | again | resume | settle |
-//! | answer crossed, of another version, or its hash differs | again | stop | settle |
-//! | request id used otherwise or too old | stop | stop | stop |
+//! | not sent, or the agent guarantees that it did not run | retry | resume | retry, same attempt number |
+//! | attempt is void | retry | resume | retry, next attempt number |
+//! | agent lost, response truncated | retry | resume | settle |
+//! | response mismatched, of another version, or its hash differs | retry | stop | settle |
+//! | request id used for another request, or too old | stop | stop | stop |
 //! | deadline passed | stop | stop | stop |
 //! | earlier call in progress | stop | stop | stop |
 //!
-//! Each further attempt needs a token of the service's [`RetryBudget`] and an attempt left; otherwise the request stops.
+//! Each further attempt needs a token of the service's [`RetryBudget`] and must stay within the allowed number of
+//! attempts; otherwise the request ends with the outcome of the failure.
 
 use crate::{base::Percent, wire::NotRun};
 
-/// Parts of a token, so that a percentage of a request is a whole number.
-const TOKEN: u32 = 100;
+/// Parts that make up a token, so that a percentage of a token is a whole number.
+const TOKEN_PARTS: u32 = 100;
 
-/// Tokens that a budget holds at most: a burst of failures after a quiet time stays this small.
+/// Tokens that a budget holds at most by default: limits the burst of retries after a time without failures.
 pub const BURST_TOKENS: u32 = 10;
 
-/// Bounds retries to a share of requests: each request adds a share of a token, each retry takes one.
+/// Limits retries to a share of the requests: each request adds a share of a token, each retry takes a whole one.
 ///
 /// After `n` requests there were at most `n * share + burst` retries.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
+    /// Balance, in parts of a token.
     parts: u32,
-    /// Most parts that are held.
+    /// Largest value of `parts`.
     limit: u32,
 }
 
@@ -37,84 +39,84 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget that holds at most `burst` tokens, and begins with them.
+    /// Creates a full budget that holds at most `burst` tokens.
     pub fn with_burst(burst: u32) -> Self {
-        let limit = burst.saturating_mul(TOKEN);
+        let limit = burst.saturating_mul(TOKEN_PARTS);
         Self {
             parts: limit,
             limit,
         }
     }
 
-    /// Notes a request.
+    /// Adds a request's share of a token.
     pub fn record_request(&mut self, share: Percent) {
         self.parts = (self.parts + u32::from(share.0)).min(self.limit);
     }
 
-    /// Takes a token; returns whether there was one.
+    /// Takes a token; returns `false` if none is left or a `share` of 0 % forbids retries.
     pub fn try_take(&mut self, share: Percent) -> bool {
-        if share.0 == 0 || self.parts < TOKEN {
+        if share.0 == 0 || self.parts < TOKEN_PARTS {
             return false;
         }
-        self.parts -= TOKEN;
+        self.parts -= TOKEN_PARTS;
         true
     }
 }
 
-/// Why an attempt brought no whole answer.
+/// Why an attempt brought no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// Nothing was sent.
+    /// Nothing of the request was sent.
     Unsent,
     /// The agent guarantees that the attempt did not and will not run.
     NotRun(NotRun),
-    /// An earlier call holds the claim.
+    /// An earlier call of the same request holds the claim and is still running.
     InProgress,
-    /// The agent was lost; what arrived is good.
+    /// The agent was lost, or the response was truncated; what arrived is correct.
     Lost,
-    /// What arrived is wrong or has holes.
+    /// The response is wrong or has gaps.
     Corrupt,
     /// The caller's deadline passed.
     Deadline,
 }
 
-/// How far a request has come.
+/// Progress of a request over all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Attempts made.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// Attempts allowed.
+    /// Largest number of attempts.
     pub allowed: u32,
-    /// Output tokens that the caller has.
+    /// Number of output tokens delivered to the caller.
     pub delivered: u32,
 }
 
-/// What to do next.
+/// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Run it on another agent; the caller has nothing yet.
+    /// Run the request on another agent; nothing was delivered to the caller yet.
     Retry {
-        /// Whether the attempt number increases, because the last one is void.
+        /// Whether the attempt number increases, because the last attempt is void.
         advance: bool,
     },
     /// Continue after the delivered tokens on another agent of the same version.
     Resume,
-    /// Ask another agent of the service for the fate of the attempt.
+    /// Have another agent of the service settle the attempt, that is, determine its final outcome.
     Settle,
-    /// Answer with the outcome of the loss.
+    /// End the request with the outcome of the failure.
     Stop,
 }
 
-/// Decides what follows a loss; takes a token if another attempt follows.
+/// Decides what follows a failed attempt; takes a token if another attempt follows.
 pub fn decide(
     progress: &Progress,
-    loss: AttemptFailure,
+    failure: AttemptFailure,
     budget: &mut RetryBudget,
     share: Percent,
 ) -> RetryDecision {
-    let next = match loss {
+    let decision = match failure {
         AttemptFailure::Deadline | AttemptFailure::InProgress => RetryDecision::Stop,
         AttemptFailure::NotRun(NotRun::Digest | NotRun::Expired) => RetryDecision::Stop,
         AttemptFailure::Lost | AttemptFailure::Corrupt if !progress.repeatable => {
@@ -129,14 +131,17 @@
         | AttemptFailure::Lost
         | AttemptFailure::Corrupt => RetryDecision::Retry { advance: false },
     };
-    let further = matches!(next, RetryDecision::Retry { .. } | RetryDecision::Resume);
+    let further = matches!(
+        decision,
+        RetryDecision::Retry { .. } | RetryDecision::Resume
+    );
     if further && !may_retry(progress, budget, share) {
         return RetryDecision::Stop;
     }
-    next
+    decision
 }
 
-/// Takes a token for a further attempt; returns whether one may follow.
+/// Returns whether a further attempt may follow; takes a token for it if so.
 pub fn may_retry(progress: &Progress, budget: &mut RetryBudget, share: Percent) -> bool {
     progress.attempts < progress.allowed && budget.try_take(share)
 }
--- a/src/decide/route/table.rs
+++ b/src/decide/route/table.rs
@@ -1,4 +1,4 @@
-//! Agents of one service.
+//! Route table: the agents of one service, with their load.
 
 use std::{
     net::SocketAddr,
@@ -19,74 +19,75 @@
     wire::AgentReport,
 };
 
-/// Prefixes that are remembered for each agent; older ones are forgotten first.
+/// Largest number of cached prefixes recorded for each agent; the oldest are evicted first.
 const PREFIXES_MAX: usize = 1024;
 
-/// What this entry knows of one agent over all tables.
+/// What this entry knows of one agent's load and health; shared by all route tables.
 #[derive(Debug, Default)]
 pub struct AgentView {
-    /// Requests of this entry in progress at the agent.
+    /// Requests of this entry in flight at the agent.
     in_flight: AtomicU32,
-    /// Load that the agent reported last.
+    /// Running and waiting requests in the agent's last report.
     reported: AtomicU32,
-    /// Requests of this entry that were in progress when that report arrived.
-    own: AtomicU32,
-    /// Whether reports arrive; requests in progress on a silent agent are given up.
-    alive: AtomicBool,
+    /// Requests of this entry in flight when that report arrived.
+    in_flight_at_report: AtomicU32,
+    /// Whether reports arrive; requests in flight at an agent without reports are given up.
+    reporting: AtomicBool,
     breaker: Mutex<Breaker>,
+    /// Hashes of cached prefixes, with the sequence number of the last report that had them.
     prefixes: Mutex<HashMap<u64, u64>>,
 }
 
-/// One agent that can take requests.
+/// An agent that accepts requests.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Name.
+    /// Process name of the agent.
     pub name: ProcessName,
-    /// QUIC address.
+    /// QUIC address of the agent.
     pub peer: SocketAddr,
-    /// Distance from the entry.
+    /// Distance of the agent from this entry.
     pub distance: Distance,
     /// Version that the endpoint confirmed.
     pub version: Option<VersionName>,
     /// Requests that the endpoint runs at once; 0 if unknown.
     pub capacity: u32,
-    /// Input to the rendezvous hash of prefixes.
+    /// Hash of the agent's name, input to the rendezvous hash of prefixes.
     pub seed: u64,
-    /// Counts of this entry.
+    /// Load and health of the agent.
     pub view: Arc<AgentView>,
 }
 
-/// What a request asks of the table.
+/// Requirements of a request on the agent to choose.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
     /// Time of the process clock.
     pub now: Millis,
-    /// Version on which a stream that has begun must continue; `None` for a new request.
+    /// Version on which a response that has begun must continue; `None` for a new request.
     pub required_version: Option<&'a VersionName>,
     /// Hash of the prompt's prefix.
     pub prefix: Option<u64>,
     /// Agents that were tried before.
     pub tried: &'a [ProcessName],
-    /// Source of randomness.
+    /// Random number.
     pub random: u64,
 }
 
-/// Agents of one service that take work.
+/// Agents of one service that accept requests.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
-    /// All versions: a stream that began on an earlier version may only continue on it.
+    /// Agents with all versions: a stream that began on an earlier version may only continue on that one.
     targets: Vec<Target>,
-    /// Version in the settings.
+    /// Desired version.
     version: Option<VersionName>,
-    /// Whether agents with an earlier version take new requests. Without them a rollout would refuse every request
-    /// from the publication until the first agent has the new version.
+    /// Whether agents with another version accept new requests. Without them all requests would be rejected from the
+    /// publication of a version until the first agent has loaded it.
     overlap: bool,
     choose: Chooser,
-    /// Load above the mean, in percent, at which affinity gives way.
+    /// Load above the mean, in percent, from which the affinity policy chooses another agent.
     slack: u32,
 }
 
-/// Counts a request as in progress at an agent until it is dropped.
+/// Counts a request as in flight at an agent until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     view: Arc<AgentView>,
@@ -94,33 +95,33 @@
 }
 
 impl AgentView {
-    /// Returns the number of requests of this entry in progress at the agent.
+    /// Returns the number of requests of this entry in flight at the agent.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Returns the load that the agent reported last.
+    /// Returns the number of running and waiting requests in the agent's last report.
     pub fn reported(&self) -> u32 {
         self.reported.load(Ordering::Relaxed)
     }
 
-    /// Returns the part of the reported load that other entries caused.
-    fn others(&self) -> u32 {
-        let own = self.own.load(Ordering::Relaxed);
-        self.reported().saturating_sub(own)
+    /// Returns the peer load: the part of the reported load that other entries caused.
+    fn peer_load(&self) -> u32 {
+        let included = self.in_flight_at_report.load(Ordering::Relaxed);
+        self.reported().saturating_sub(included)
     }
 
     /// Returns whether reports of the agent arrive.
     pub fn is_reporting(&self) -> bool {
-        self.alive.load(Ordering::Relaxed)
+        self.reporting.load(Ordering::Relaxed)
     }
 
     /// Sets whether reports of the agent arrive.
-    pub fn set_reporting(&self, alive: bool) {
-        self.alive.store(alive, Ordering::Relaxed);
+    pub fn set_reporting(&self, reporting: bool) {
+        self.reporting.store(reporting, Ordering::Relaxed);
     }
 
-    /// Counts a request as in progress.
+    /// Counts a request as in flight, and as the breaker's probe if it is half-open.
     pub fn begin(self: &Arc<Self>, now: Millis) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         let probe = lock(&self.breaker).begin(now);
@@ -130,11 +131,12 @@
         }
     }
 
-    /// Takes over load and cached prefixes of a report.
+    /// Applies the load and the cached prefixes of a report.
     pub fn apply_report(&self, report: &AgentReport) {
         let load = report.running.saturating_add(report.waiting);
         self.reported.store(load, Ordering::Relaxed);
-        self.own.store(self.in_flight(), Ordering::Relaxed);
+        self.in_flight_at_report
+            .store(self.in_flight(), Ordering::Relaxed);
         if report.prefixes.is_empty() {
             return;
         }
@@ -143,7 +145,7 @@
             known.insert(*p, report.sequence);
         }
         while known.len() > PREFIXES_MAX {
-            // One pass drops the oldest half, so that the cost for each prefix stays constant.
+            // One pass evicts the oldest half, so that the amortised cost for each prefix is constant.
             let mut ages: Vec<u64> = known.values().copied().collect();
             ages.sort_unstable();
             let middle = ages[ages.len() / 2];
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Forgets all prefixes, for example after a restart of the agent.
+    /// Removes all cached prefixes, for example after a restart of the agent.
     pub fn clear_prefixes(&self) {
         lock(&self.prefixes).clear();
     }
@@ -166,12 +168,12 @@
 }
 
 impl InFlightGuard {
-    /// Notes that the agent answered.
+    /// Records a success in the agent's breaker.
     pub fn record_success(&self) {
         lock(&self.view.breaker).record_success();
     }
 
-    /// Notes that the agent failed.
+    /// Records a failure in the agent's breaker.
     pub fn record_failure(&self, now: Millis) {
         lock(&self.view.breaker).record_failure(now);
     }
@@ -192,7 +194,7 @@
 }
 
 impl Target {
-    /// Describes an agent.
+    /// Creates the route table's data of an agent.
     pub fn new(peer: &Peer, report: &AgentReport, slot: Arc<AgentView>) -> Self {
         Self {
             name: peer.host.name.clone(),
@@ -205,18 +207,18 @@
         }
     }
 
-    /// Returns the reported load of other entries and this entry's own requests now.
+    /// Returns the agent's load in requests: the peer load plus this entry's requests in flight.
     pub fn load(&self) -> u32 {
-        self.view.others().saturating_add(self.view.in_flight())
+        self.view.peer_load().saturating_add(self.view.in_flight())
     }
 
     /// Returns the load in thousandths of the capacity, with one request added.
-    pub fn share(&self) -> u64 {
+    pub fn load_permille(&self) -> u64 {
         u64::from(self.load() + 1) * 1000 / u64::from(self.capacity.max(1))
     }
 
-    /// Returns the requests that may be at the agent at once: a quarter more than run keeps the endpoint busy
-    /// between two requests, and a longer queue would only add latency.
+    /// Returns the largest number of requests at the agent, running and waiting: a quarter more than its capacity keeps
+    /// the endpoint busy between two requests, and a longer queue would only add latency.
     pub fn ceiling(&self) -> u32 {
         match self.capacity {
             0 => u32::MAX,
@@ -224,7 +226,7 @@
         }
     }
 
-    /// Returns whether a further request finds room.
+    /// Returns whether the agent has room for a further request.
     pub fn has_room(&self) -> bool {
         self.load() < self.ceiling()
     }
@@ -236,7 +238,7 @@
 }
 
 impl RouteTable {
-    /// Creates a table with the policy and the version of the settings.
+    /// Creates a table with the desired version and the routing policy of the settings.
     pub fn new(targets: Vec<Target>, weights: &Weights, route: &Route) -> Self {
         Self {
             targets,
@@ -247,57 +249,65 @@
         }
     }
 
-    /// Iterates over the agents that take new requests.
+    /// Iterates over the agents that accept new requests.
     pub fn accepting(&self) -> impl Iterator<Item = &Target> {
-        self.targets.iter().filter(|t| self.is_open(t))
+        self.targets.iter().filter(|t| self.is_accepting(t))
     }
 
-    /// Returns whether an agent takes new requests: it confirms the version in the settings or, during a rollout, an
-    /// earlier one.
-    fn is_open(&self, t: &Target) -> bool {
-        let earlier = self.overlap && self.version.is_some() && t.version.is_some();
-        t.version == self.version || earlier
+    /// Returns whether an agent accepts new requests: it confirms the desired version or, if `overlap` is set, any
+    /// version.
+    fn is_accepting(&self, t: &Target) -> bool {
+        let other = self.overlap && self.version.is_some() && t.version.is_some();
+        t.version == self.version || other
     }
 
-    fn fits(&self, t: &Target, only: Option<&VersionName>) -> bool {
-        match only {
+    /// Returns whether an agent has the required version or, for a new request, accepts new requests.
+    fn is_eligible(&self, t: &Target, required: Option<&VersionName>) -> bool {
+        match required {
             Some(v) => t.version.as_ref() == Some(v),
-            None => self.is_open(t),
+            None => self.is_accepting(t),
         }
     }
 
-    /// Returns how many requests this entry may have in progress: what other entries leave of the agents' room, but
-    /// at least its part of the room of all `entries`.
+    /// Returns the largest number of requests that this entry may have in flight: the agents' room without their peer
+    /// load, but at least an equal part of the whole room for each of the `entries`.
     pub fn window(&self, entries: u32) -> u32 {
         let mut free = 0_u32;
         let mut room = 0_u32;
         for t in self.accepting() {
-            let others = t.view.others();
-            free = free.saturating_add(t.ceiling().saturating_sub(others));
+            let peer_load = t.view.peer_load();
+            free = free.saturating_add(t.ceiling().saturating_sub(peer_load));
             room = room.saturating_add(t.ceiling());
         }
         free.max(room.div_ceil(entries.max(1)))
     }
 
-    /// Chooses an agent: never one that was tried, unless all were.
+    /// Chooses an agent that was not tried before; the only eligible agent of a service is chosen again.
+    ///
+    /// An open breaker excludes an agent unless no other one is left.
     pub fn choose(&self, q: &RouteQuery<'_>) -> Option<&Target> {
-        let fresh = |t: &&Target| !q.tried.contains(&t.name);
+        let untried = |t: &&Target| !q.tried.contains(&t.name);
         let allowed = |t: &&Target| t.view.allows(q.now);
-        let fit: Vec<&Target> = self
+        let eligible: Vec<&Target> = self
             .targets
             .iter()
-            .filter(|t| self.fits(t, q.required_version))
+            .filter(|t| self.is_eligible(t, q.required_version))
+            .collect();
+        let mut pool: Vec<&Target> = eligible
+            .iter()
+            .copied()
+            .filter(untried)
+            .filter(allowed)
             .collect();
-        let mut pool: Vec<&Target> = fit.iter().copied().filter(fresh).filter(allowed).collect();
         if pool.is_empty() {
-            pool = fit.iter().copied().filter(fresh).collect();
+            pool = eligible.iter().copied().filter(untried).collect();
         }
-        // The only agent of a service is tried again.
-        if pool.is_empty() && fit.len() == 1 {
-            pool = fit;
+        // The only eligible agent of a service is tried again.
+        if pool.is_empty() && eligible.len() == 1 {
+            pool = eligible;
         }
-        self.nearest(&mut pool);
-        self.newest(&mut pool);
+        self.retain_nearest(&mut pool);
+        self.retain_desired_version(&mut pool);
         match pool.len() {
             0 => None,
             1 => Some(pool[0]),
@@ -305,16 +315,17 @@
         }
     }
 
-    /// Keeps the agents with the version in the settings if one of them can run the request at once.
-    fn newest(&self, pool: &mut Vec<&Target>) {
-        let newest = |t: &Target| t.version == self.version;
-        if pool.iter().any(|t| newest(t) && t.load() < t.capacity) {
-            pool.retain(|t| newest(t));
+    /// Keeps only the agents with the desired version if one of them has free capacity for the request.
+    fn retain_desired_version(&self, pool: &mut Vec<&Target>) {
+        let desired = |t: &Target| t.version == self.version;
+        if pool.iter().any(|t| desired(t) && t.load() < t.capacity) {
+            pool.retain(|t| desired(t));
         }
     }
 
-    /// Keeps the agents of the nearest distance at which one has room; without any room, those of the own region.
-    fn nearest(&self, pool: &mut Vec<&Target>) {
+    /// Keeps only the agents with room at the nearest distance that has one; if no agent has room, those of the entry's
+    /// region, if any.
+    fn retain_nearest(&self, pool: &mut Vec<&Target>) {
         let room = pool
             .iter()
             .filter(|t| t.has_room())
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: fairness, deadlines, and the reserve for status checks.
+//! Admission control: fairness, deadlines, and the reserve for status checks.
 
 mod entry_support;
 
@@ -18,7 +18,7 @@
     rate: 10_000_000,
 };
 
-fn ask(workspace: &Workspace) -> AdmissionRequest<'_> {
+fn admission_request(workspace: &Workspace) -> AdmissionRequest<'_> {
     AdmissionRequest {
         workspace,
         share: WIDE,
@@ -33,25 +33,27 @@
     name.parse().unwrap()
 }
 
-/// A seeded load on one limiter, in steps of 1 ms.
+/// Simulated load on one limiter, in steps of 1 ms.
 struct Load {
     limiter: Limiter,
     random: fastrand::Rng,
-    /// End of each admitted request, with its start and workspace.
+    /// End, arrival and workspace of each admitted request.
     running: Vec<(Millis, Millis, usize)>,
+    /// Workspace, end of the wait and arrival of each waiting request.
     waiting: BTreeMap<Ticket, (usize, Millis, Millis)>,
-    /// Requests answered before their deadline, for each workspace.
+    /// Requests that ended before their deadline, for each workspace.
     good: Vec<u32>,
     offered: Vec<u32>,
-    refused: u32,
+    rejected: u32,
 }
 
 const WINDOW: u32 = 20;
-const SERVICE: u64 = 100;
+/// Mean duration of a request, in milliseconds.
+const SERVICE_MS: u64 = 100;
 const DEADLINE: Millis = Millis(1000);
 
 impl Load {
-    /// Offers `rates` requests a second of each workspace with its weight, for `time`.
+    /// Offers the rate (requests per second) of each workspace with its weight, for `time`.
     fn run(seed: u64, spaces: &[(u64, u32)], time: Millis) -> Self {
         let mut load = Self {
             limiter: Limiter::default(),
@@ -60,7 +62,7 @@
             waiting: BTreeMap::new(),
             good: vec![0; spaces.len()],
             offered: vec![0; spaces.len()],
-            refused: 0,
+            rejected: 0,
         };
         load.limiter.set_window(Millis(1), WINDOW);
         let names: Vec<_> = (0..spaces.len()).map(|i| space(&format!("w{i}"))).collect();
@@ -68,16 +70,16 @@
             let now = Millis(ms);
             load.end(now, &names);
             for (i, (rate, weight)) in spaces.iter().enumerate() {
-                // Up to four arrivals in a millisecond.
+                // At most four arrivals per millisecond.
                 let arrivals = (0..4).filter(|_| load.random.u64(0..4000) < *rate).count();
                 for _ in 0..arrivals {
                     load.offered[i] += 1;
-                    let mut a = ask(&names[i]);
+                    let mut a = admission_request(&names[i]);
                     (a.weight, a.remaining) = (*weight, DEADLINE);
                     match load.limiter.admit(now, &a) {
                         Verdict::Admit(_) => load.start(now, i, now),
                         Verdict::Wait(t, until) => drop(load.waiting.insert(t, (i, until, now))),
-                        Verdict::Refuse(..) => load.refused += 1,
+                        Verdict::Refuse(..) => load.rejected += 1,
                     }
                     load.admit(now);
                 }
@@ -87,13 +89,16 @@
     }
 
     fn start(&mut self, now: Millis, workspace: usize, arrived: Millis) {
-        let time = SERVICE / 2 + self.random.u64(0..=SERVICE);
+        let time = SERVICE_MS / 2 + self.random.u64(0..=SERVICE_MS);
         self.running.push((now + Millis(time), arrived, workspace));
     }
 
     fn admit(&mut self, now: Millis) {
         for t in self.limiter.take_admitted() {
-            let (i, _, arrived) = self.waiting.remove(&t).expect("only who waits is admitted");
+            let (i, _, arrived) = self
+                .waiting
+                .remove(&t)
+                .expect("only a waiting request is admitted");
             self.start(now, i, arrived);
         }
     }
@@ -104,7 +109,7 @@
         let over: Vec<(Millis, Millis, usize)> = over;
         for (end, arrived, i) in over {
             self.good[i] += u32::from(end - arrived <= DEADLINE);
-            let duration = Some(Millis(SERVICE));
+            let duration = Some(Millis(SERVICE_MS));
             self.limiter.release(now, &names[i], Class::Work, duration);
             self.admit(now);
         }
@@ -117,22 +122,22 @@
         for (t, i) in late {
             assert!(
                 self.limiter.cancel(&names[i], t),
-                "an expired request was admitted in silence"
+                "an expired request was admitted but not returned"
             );
             self.waiting.remove(&t);
-            self.refused += 1;
+            self.rejected += 1;
         }
     }
 }
 
-/// Guards against a greedy workspace that takes the share of a small one.
+/// Guards against a workspace beyond its share that takes capacity from one with a small share.
 #[test]
 fn small_workspace_gets_its_share() {
-    let capacity = u64::from(WINDOW) * 1000 / SERVICE;
+    let capacity = u64::from(WINDOW) * 1000 / SERVICE_MS;
     for (seed, weights) in [(1, [1, 1]), (2, [3, 1]), (3, [9, 1])] {
         let sum: u32 = weights.iter().sum();
         let entitled = capacity * u64::from(weights[1]) / u64::from(sum);
-        // Offered exactly its share, random gaps and bursts alone would lose some of it.
+        // With an offered load of exactly its share, random gaps and bursts alone would lose some of it.
         let spaces = [(capacity * 5, weights[0]), (entitled * 5 / 4, weights[1])];
         let load = Load::run(seed, &spaces, Millis(20_000));
         let share = f64::from(load.good[1]) / (entitled * 20) as f64;
@@ -141,10 +146,10 @@
     }
 }
 
-/// Guards against a workspace that stays below its share and still loses requests to a greedy one.
+/// Guards against a workspace that stays below its share and still loses requests to one beyond its share.
 #[test]
-fn modest_workspace_is_served() {
-    let capacity = u64::from(WINDOW) * 1000 / SERVICE;
+fn workspace_below_its_share_is_served() {
+    let capacity = u64::from(WINDOW) * 1000 / SERVICE_MS;
     for (seed, weights) in [(4, [1, 1]), (5, [3, 1]), (6, [9, 1])] {
         let sum: u32 = weights.iter().sum();
         let offered = capacity * u64::from(weights[1]) / u64::from(sum) * 4 / 5;
@@ -154,15 +159,15 @@
             Millis(20_000),
         );
         let share = f64::from(load.good[1]) / f64::from(load.offered[1]);
-        println!("weights {weights:?}: {share:.3} of the requests at 80% of the share are answered in time");
+        println!("weights {weights:?}: {share:.3} of the requests at 80% of the share end in time");
         assert!(share >= 0.9, "seed {seed}: {share}");
     }
 }
 
-/// Guards against goodput that falls when twice as much is offered as fits.
+/// Guards against goodput that falls when the offered load is twice the capacity.
 #[test]
 fn goodput_holds_at_twice_the_capacity() {
-    let capacity = u64::from(WINDOW) * 1000 / SERVICE;
+    let capacity = u64::from(WINDOW) * 1000 / SERVICE_MS;
     let at = |rate| {
         let load = Load::run(7, &[(rate, 1)], Millis(20_000));
         f64::from(load.good[0])
@@ -172,45 +177,60 @@
     assert!(ratio >= 0.95, "{ratio}");
 }
 
-/// Guards against requests that wait although the known queue and speed rule out an answer in time.
+/// Guards against requests that wait although queue and measured durations rule out a response in time.
 #[test]
-fn hopeless_deadline_is_refused_at_once() {
+fn unreachable_deadline_is_rejected_at_once() {
     let lab = space("lab");
     let mut l = Limiter::default();
     l.set_window(Millis(1), 2);
     for i in 0..8 {
-        assert_matches!(l.admit(Millis(i), &ask(&lab)), Verdict::Admit(_));
+        assert_matches!(
+            l.admit(Millis(i), &admission_request(&lab)),
+            Verdict::Admit(_)
+        );
         l.release(Millis(i), &lab, Class::Work, Some(Millis(2000)));
     }
-    let hurry = AdmissionRequest {
+    let urgent = AdmissionRequest {
         remaining: Millis(500),
-        ..ask(&lab)
+        ..admission_request(&lab)
     };
     assert_matches!(
-        l.admit(Millis(10), &hurry),
+        l.admit(Millis(10), &urgent),
         Verdict::Refuse(Reason::Deadline, _)
     );
-    assert_matches!(l.admit(Millis(10), &ask(&lab)), Verdict::Admit(_));
-    assert_matches!(l.admit(Millis(10), &ask(&lab)), Verdict::Admit(_));
-    // A place becomes free only after about a second, and the workspace waits at most half of one.
-    assert_matches!(l.admit(Millis(10), &ask(&lab)), Verdict::Refuse(Reason::Saturated, t) if t >= Millis(500));
-    // Old measurements must not refuse for ever.
+    assert_matches!(
+        l.admit(Millis(10), &admission_request(&lab)),
+        Verdict::Admit(_)
+    );
+    assert_matches!(
+        l.admit(Millis(10), &admission_request(&lab)),
+        Verdict::Admit(_)
+    );
+    // A request ends only after about a second, and the workspace waits at most half a second.
+    assert_matches!(l.admit(Millis(10), &admission_request(&lab)), Verdict::Refuse(Reason::Saturated, t) if t >= Millis(500));
+    // Old measurements must not reject requests for ever.
     let later = Millis(60_000);
     l.release(later, &lab, Class::Work, None);
-    assert_matches!(l.admit(later, &hurry), Verdict::Admit(_));
+    assert_matches!(l.admit(later, &urgent), Verdict::Admit(_));
 }
 
-/// Guards against status checks that queue behind orders, and against a reserve without bound.
+/// Guards against status checks that queue behind other requests, and against an unbounded reserve.
 #[test]
 fn status_checks_have_a_reserve() {
     let lab = space("lab");
     let mut l = Limiter::default();
     l.set_window(Millis(1), 1);
-    assert_matches!(l.admit(Millis(1), &ask(&lab)), Verdict::Admit(Class::Work));
-    assert_matches!(l.admit(Millis(1), &ask(&lab)), Verdict::Wait(..));
+    assert_matches!(
+        l.admit(Millis(1), &admission_request(&lab)),
+        Verdict::Admit(Class::Work)
+    );
+    assert_matches!(
+        l.admit(Millis(1), &admission_request(&lab)),
+        Verdict::Wait(..)
+    );
     let status = AdmissionRequest {
         class: Class::Status,
-        ..ask(&lab)
+        ..admission_request(&lab)
     };
     for _ in 0..STATUS_RESERVE {
         assert_matches!(l.admit(Millis(1), &status), Verdict::Admit(Class::Status));
@@ -220,9 +240,9 @@
     assert_matches!(l.admit(Millis(2), &status), Verdict::Admit(Class::Status));
 }
 
-/// Guards against a rate limit that lets more pass, or that refuses without a useful time.
+/// Guards against a rate limit that admits more, or that rejects without a useful time to retry.
 #[test]
-fn rate_limit_names_the_time() {
+fn rate_limit_rejects_with_retry_time() {
     let lab = space("lab");
     let mut l = Limiter::default();
     l.set_window(Millis(1), 1000);
@@ -232,7 +252,7 @@
             rate: 2000,
         },
         wait: Millis(100),
-        ..ask(&lab)
+        ..admission_request(&lab)
     };
     assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
     assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
@@ -249,9 +269,9 @@
     );
 }
 
-/// Guards against "the service has no room" for a request that waited for its workspace's rate only.
+/// Guards against the reason "the service has no room" for a request that waited only for its workspace's rate limit.
 #[test]
-fn rate_is_named_when_the_wait_ends() {
+fn rate_is_the_reason_when_the_wait_ends() {
     let lab = space("lab");
     let mut l = Limiter::default();
     l.set_window(Millis(1), 1000);
@@ -261,20 +281,20 @@
             rate: 2000,
         },
         wait: Millis(600),
-        ..ask(&lab)
+        ..admission_request(&lab)
     };
     assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
     assert_matches!(l.admit(Millis(1), &slow), Verdict::Admit(_));
     let Verdict::Wait(ticket, _) = l.admit(Millis(1), &slow) else {
-        panic!("a token comes within the wait");
+        panic!("a token becomes available within the wait");
     };
     l.cancel(&lab, ticket);
-    // The next token has come by now.
+    // By now the next token is available.
     l.dispatch(Millis(700));
     assert_eq!(l.blocking_reason(&lab), Reason::Rate);
 }
 
-/// Guards against admissions beyond window or share, and against requests that are lost between queue and driver.
+/// Guards against admissions beyond window or share, and against requests that are admitted but never returned.
 #[test]
 fn bounds_hold_under_any_order_of_events() {
     let names = [space("a"), space("b"), space("c")];
@@ -299,7 +319,7 @@
                         now,
                         &AdmissionRequest {
                             share,
-                            ..ask(&names[i])
+                            ..admission_request(&names[i])
                         },
                     ) {
                         Verdict::Admit(_) => running[i] += 1,
@@ -324,7 +344,7 @@
             }
             for t in l.take_admitted() {
                 let (i, until) = waiting.remove(&t).expect("waits and was not cancelled");
-                assert!(until >= now, "seed {seed}: admitted after it was given up");
+                assert!(until >= now, "seed {seed}: admitted after its wait ended");
                 running[i] += 1;
             }
             let sum: u32 = running.iter().sum();
@@ -337,7 +357,7 @@
     }
 }
 
-/// Guards against a technician's status check that waits behind orders.
+/// Guards against a status check that waits behind non-repeatable requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn status_check_passes_during_overload() {
     let world = World::plain(1).await;
@@ -358,7 +378,7 @@
         let req = world.request("POST", "/v1/services/orders/new");
         tokio::spawn(req.header("Idempotency-Key", id).body("dig").send())
     };
-    // One runs and one more keeps the endpoint busy; the window has room for no other.
+    // One request runs and one waits at the endpoint; the window has no room for another.
     let orders = [order(), order()];
     until("two orders at the endpoint", || world.runs() == 2).await;
     let (status, body) = outcome(order().await.unwrap().unwrap()).await;
@@ -376,9 +396,10 @@
     }
 }
 
-/// Guards against refusals at overload that are late, without a time, or with the same time for everybody.
+/// Guards against rejections under overload that are late, without a time to retry, or with the same time for all
+/// callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn overload_is_refused_with_spread_times() {
+async fn overload_is_rejected_with_spread_retry_times() {
     let world = World::start(
         "drafts",
         1,
@@ -409,7 +430,7 @@
             (429, &"not_run".into()),
             "{body}"
         );
-        assert!(begun.elapsed().as_secs() < 5, "refused at once");
+        assert!(begun.elapsed().as_secs() < 5, "rejected at once");
         times.push(body["retry_after_ms"].as_u64().unwrap());
     }
     times.sort_unstable();
--- a/tests/claim_faults.rs
+++ b/tests/claim_faults.rs
@@ -17,13 +17,15 @@
     readback: Millis(200),
 };
 
-/// What the log does with an append.
+/// What happens to an append.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Answered,
+enum AppendFate {
+    Acknowledged,
     Refused,
-    AnswerLost,
+    /// The record is in the log, but the acknowledgement is lost.
+    AckLost,
     RecordLost,
+    /// The record arrives in the log later, by `Op::Deliver`; the agent gets no acknowledgement.
     Late,
 }
 
@@ -31,7 +33,7 @@
 enum Op {
     Submit(usize, u8, u32),
     Settle(usize, u8, u32),
-    Append(usize, Fate),
+    Append(usize, AppendFate),
     /// Appends the late record at this position.
     Deliver(usize),
     Read(usize, usize),
@@ -56,12 +58,12 @@
     now: u64,
     log: Vec<Entry>,
     late: Vec<Record>,
-    /// Runs that may have reached the endpoint.
+    /// Runs whose requests may have reached the endpoint.
     runs: Vec<(Instance, Run)>,
     tickets: Vec<Run>,
-    /// Requests that wait for an answer of a run of an agent.
+    /// Submissions that wait for a reply, and the agent's instance that they wait for.
     open: Vec<(u64, Instance)>,
-    /// Attempts that are said to be void for everybody.
+    /// Attempts that an agent has reported as void.
     voids: Vec<Run>,
 }
 
@@ -106,7 +108,10 @@
                     let waits = |(t, i): &(u64, Instance)| {
                         self.tickets[*t as usize] == payload && *i == agent.instance
                     };
-                    assert!(self.open.iter().any(waits), "ran for nobody: {payload:?}");
+                    assert!(
+                        self.open.iter().any(waits),
+                        "ran although no caller waits: {payload:?}"
+                    );
                     self.runs.push((agent.instance, payload));
                 }
                 Action::Reply(Ticket(t), verdict) => {
@@ -164,14 +169,16 @@
                     return;
                 };
                 let end = match fate {
-                    Fate::Answered => AppendResult::Appended,
-                    Fate::Refused => AppendResult::Refused,
-                    Fate::AnswerLost | Fate::RecordLost | Fate::Late => AppendResult::Unknown,
+                    AppendFate::Acknowledged => AppendResult::Appended,
+                    AppendFate::Refused => AppendResult::Refused,
+                    AppendFate::AckLost | AppendFate::RecordLost | AppendFate::Late => {
+                        AppendResult::Unknown
+                    }
                 };
                 match fate {
-                    Fate::Answered | Fate::AnswerLost => self.push(&record),
-                    Fate::Late => self.late.push(record.clone()),
-                    Fate::Refused | Fate::RecordLost => {}
+                    AppendFate::Acknowledged | AppendFate::AckLost => self.push(&record),
+                    AppendFate::Late => self.late.push(record.clone()),
+                    AppendFate::Refused | AppendFate::RecordLost => {}
                 }
                 agents[a].runner.complete_append(now, record.id, end);
             }
@@ -234,11 +241,11 @@
 
 fn op() -> impl Strategy<Value = Op> {
     let fate = prop_oneof![
-        4 => Just(Fate::Answered),
-        1 => Just(Fate::Refused),
-        1 => Just(Fate::AnswerLost),
-        1 => Just(Fate::RecordLost),
-        1 => Just(Fate::Late),
+        4 => Just(AppendFate::Acknowledged),
+        1 => Just(AppendFate::Refused),
+        1 => Just(AppendFate::AckLost),
+        1 => Just(AppendFate::RecordLost),
+        1 => Just(AppendFate::Late),
     ];
     prop_oneof![
         4 => (0..AGENTS, 0..2u8, 1..4u32).prop_map(|(a, n, t)| Op::Submit(a, n, t)),
@@ -256,8 +263,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, max_shrink_iters: 20_000, ..ProptestConfig::default() })]
 
-    /// Guards against a second run of an id, a run after "not run" and a run of a void attempt, whatever is lost, late
-    /// or repeated.
+    /// Guards against a second run of a request id, a run after the reply "not run" and a run of a void attempt,
+    /// whatever is lost, late or repeated.
     #[test]
     fn claims_hold_under_random_faults(ops in prop::collection::vec(op(), 1..120)) {
         let mut world = World { now: 1, ..World::default() };
--- a/tests/claim_runner.rs
+++ b/tests/claim_runner.rs
@@ -1,4 +1,4 @@
-//! Claim runners over one simulated log, with manual time.
+//! Claim runners on one simulated log, with manual time.
 
 use assert_matches::assert_matches;
 use bytes::Bytes;
@@ -26,15 +26,15 @@
     text.parse().expect("a UUID")
 }
 
-/// One agent.
+/// An agent's claim runner and the actions that it returned.
 struct Agent {
     runner: ClaimRunner<RequestId>,
-    /// Records read so far.
+    /// Number of records read so far.
     read: usize,
     runs: Vec<RequestId>,
-    answers: Vec<(Ticket, Verdict)>,
+    replies: Vec<(Ticket, Verdict)>,
     settled: Vec<(Ticket, SettleReply)>,
-    /// Records that it wants appended.
+    /// Records that the runner has asked to append.
     sent: Vec<Record>,
 }
 
@@ -46,7 +46,7 @@
             runner,
             read: 0,
             runs: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             settled: Vec::new(),
             sent: Vec::new(),
         };
@@ -84,7 +84,7 @@
             match action {
                 Action::Append(record) => self.sent.push(record),
                 Action::Run { payload, .. } => self.runs.push(payload),
-                Action::Reply(ticket, verdict) => self.answers.push((ticket, verdict)),
+                Action::Reply(ticket, verdict) => self.replies.push((ticket, verdict)),
                 Action::Settled(ticket, reply) => self.settled.push((ticket, reply)),
             }
         }
@@ -129,9 +129,9 @@
     }
 
     fn verdict(&self, ticket: u64) -> Option<&Verdict> {
-        let mut found = self.answers.iter().filter(|(t, _)| t.0 == ticket);
+        let mut found = self.replies.iter().filter(|(t, _)| t.0 == ticket);
         let verdict = found.next().map(|(_, v)| v);
-        assert_eq!(found.next(), None, "ticket {ticket} was answered twice");
+        assert_eq!(found.next(), None, "ticket {ticket} got two replies");
         verdict
     }
 
@@ -160,11 +160,11 @@
 fn body(verdict: Option<&Verdict>) -> Vec<u8> {
     match verdict {
         Some(Verdict::Done { body, .. }) => body.to_vec(),
-        other => panic!("no answer but {other:?}"),
+        other => panic!("no response but {other:?}"),
     }
 }
 
-/// Guards against two runs of one attempt that two agents received.
+/// Guards against two runs of one attempt that was submitted to two agents.
 #[test]
 fn same_attempt_at_two_agents_runs_once() {
     for second_first in [false, true] {
@@ -194,9 +194,9 @@
     }
 }
 
-/// Guards against a run without a read-back, whether the answer of the append or the record itself was lost.
+/// Guards against a run without a read-back, whether the acknowledgement of the append or the record itself was lost.
 #[test]
-fn lost_append_answer_never_runs() {
+fn unacknowledged_claim_never_runs() {
     // Whether the claim arrives before the void, after it, or never.
     for arrival in ["before", "after", "never"] {
         let (mut a, mut b, mut log) = (Agent::new(1), Agent::new(2), Log::default());
@@ -208,7 +208,7 @@
         }
         a.appended(10, &claim, AppendResult::Unknown);
         assert_eq!(a.outcome(1), Some(RunOutcome::NotRun(NotRun::Log)));
-        // The refusal holds for a repeat while the void is under way.
+        // A repeated submission is rejected too while the void record is being appended.
         a.submit(11, 2, id(1), 1, "x");
         assert_eq!(a.outcome(2), Some(RunOutcome::NotRun(NotRun::Log)));
         a.sync(400, &mut log);
@@ -217,7 +217,7 @@
         }
         a.sync(500, &mut log);
         assert_eq!(a.runs, [], "arrival {arrival}");
-        // Nothing blocks the next attempt elsewhere.
+        // The next attempt can run at another agent.
         b.read(600, &log);
         b.submit(600, 1, id(1), 2, "x");
         b.sync(600, &mut log);
@@ -226,7 +226,7 @@
     }
 }
 
-/// Guards against a run after the claim was read back too late, for example by an agent that was frozen.
+/// Guards against a run after the claim was read back too late, for example because the process was suspended.
 #[test]
 fn late_read_back_does_not_run() {
     let (mut a, mut log) = (Agent::new(1), Log::default());
@@ -261,7 +261,7 @@
     assert_eq!(a.runs, [id(1)]);
 }
 
-/// Guards against a settlement that voids a claim which runs, at the claiming agent or at another one.
+/// Guards against a settlement that voids the claim of a running attempt, at the claiming agent or at another one.
 #[test]
 fn settlement_after_claim_does_not_void() {
     let (mut a, mut b, mut log) = (Agent::new(1), Agent::new(2), Log::default());
@@ -285,9 +285,9 @@
     assert_matches!(b.settled.last(), Some((_, SettleReply::Done(o))) if o.body.as_deref() == Some(b"ok"));
 }
 
-/// Guards against requests that wait or run during a log outage, and against one that stays refused after it.
+/// Guards against requests that wait or run during a log outage, and against one that is still rejected after it.
 #[test]
-fn log_outage_refuses_at_once_without_run() {
+fn log_outage_rejects_at_once_without_run() {
     let (mut a, mut log) = (Agent::new(1), Log::default());
     a.submit(0, 1, id(1), 1, "x");
     a.poll(5);
@@ -308,14 +308,15 @@
     assert_eq!(
         (a.runs.len(), log.0.len()),
         (0, 0),
-        "nothing was left behind"
+        "no claim of the outage is appended or run later"
     );
     a.submit(3000, 6, id(1), 1, "x");
     a.sync(3000, &mut log);
     assert_eq!(a.runs, [id(1)]);
 }
 
-/// Guards against a second run of a finished or running id, and against answers to other content under the same id.
+/// Guards against a second run of a finished or running request, and against replies to other content under the same
+/// id.
 #[test]
 fn repeats_join_or_get_the_first_outcome() {
     let (mut a, mut b, mut log) = (Agent::new(1), Agent::new(2), Log::default());
@@ -336,7 +337,7 @@
         assert_eq!(body(a.verdict(ticket)), large);
     }
     assert_eq!(a.runs, [id(1)]);
-    // Only the agent that ran it has a large body; another one must not run it again.
+    // Only the agent that ran the request has the large body; another one must not run the request again.
     b.sync(300, &mut log);
     b.submit(300, 2, id(1), 1, "x");
     b.submit(300, 3, id(1), 1, "other");
@@ -346,9 +347,9 @@
     assert_eq!(b.runs, []);
 }
 
-/// Guards against "not run" for an attempt that was sent, and against a new run by a restarted agent.
+/// Guards against the reply "not run" for an attempt that was sent, and against a second run by a restarted agent.
 #[test]
-fn sent_without_answer_stays_unknown() {
+fn sent_without_response_stays_unknown() {
     let (mut a, mut log) = (Agent::new(1), Log::default());
     a.submit(0, 1, id(1), 1, "x");
     a.sync(0, &mut log);
@@ -369,7 +370,7 @@
 
 /// Guards against a claim that blocks further attempts although the endpoint received nothing.
 #[test]
-fn unsent_run_is_voided_before_the_answer() {
+fn unsent_run_is_voided_before_the_reply() {
     let (mut a, mut b, mut log) = (Agent::new(1), Agent::new(2), Log::default());
     a.submit(0, 1, id(1), 1, "x");
     a.sync(0, &mut log);
@@ -384,9 +385,9 @@
     assert_eq!(b.runs, [id(1)]);
 }
 
-/// Guards against runs of ids whose earlier outcome may have been forgotten.
+/// Guards against runs of request ids whose earlier outcome the kernel may no longer have.
 #[test]
-fn ids_outside_of_the_window_are_refused() {
+fn ids_outside_of_the_window_are_rejected() {
     let (mut a, mut log) = (Agent::new(1), Log::default());
     let random: RequestId = "9b2f4f0e-1c8e-4b7a-9a51-0a3f8f1d2c3b"
         .parse()
@@ -414,9 +415,9 @@
     assert_eq!(a.runs, []);
 }
 
-/// Guards against one append for each request, which the log service could not take, and against unbounded tables.
+/// Guards against one append for each request, which would overload the log service, and against unbounded tables.
 #[test]
-fn claims_and_outcomes_are_appended_in_groups() {
+fn claims_and_outcomes_are_appended_in_batches() {
     let (mut a, mut log) = (Agent::new(1), Log::default());
     for n in 0..40 {
         a.submit(0, u64::from(n), id(n), 1, "x");
@@ -436,7 +437,8 @@
     assert_eq!(a.outcome(last), Some(RunOutcome::NotRun(NotRun::Busy)));
 }
 
-/// Guards against a wrong order of two appends in flight: the next batch waits for the answer.
+/// Guards against two appends in flight, which could arrive in the wrong order: the next batch waits for the result of
+/// the first.
 #[test]
 fn one_append_is_in_flight() {
     let (mut a, mut log) = (Agent::new(1), Log::default());
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -1,4 +1,4 @@
-//! Division of a workspace's limits over the entries of a region.
+//! Shares of a workspace's limits at the entries of a region.
 
 mod entry_support;
 
@@ -44,7 +44,7 @@
     }
     let mut pool = SharePool::default();
     let names: Vec<ProcessName> = (0..3).map(|i| format!("e{i}").parse().unwrap()).collect();
-    let ask = |pool: &mut SharePool, i: usize, concurrency| {
+    let grant = |pool: &mut SharePool, i: usize, concurrency| {
         let demand = Share {
             concurrency,
             rate: 0,
@@ -53,17 +53,17 @@
             .concurrency
     };
     assert_eq!(
-        ask(&mut pool, 0, 500),
+        grant(&mut pool, 0, 500),
         64,
-        "the only entry with demand gets all"
+        "the only entry with demand gets the whole limit"
     );
-    ask(&mut pool, 1, 500);
-    // The first entry gives up its surplus with its next report; then both have half.
-    assert_eq!(ask(&mut pool, 0, 500), 32);
-    assert_eq!(ask(&mut pool, 1, 500), 32);
+    grant(&mut pool, 1, 500);
+    // The first entry gives up its surplus with its next report; then each has half of the limit.
+    assert_eq!(grant(&mut pool, 0, 500), 32);
+    assert_eq!(grant(&mut pool, 1, 500), 32);
 }
 
-/// Guards against an entry without a coordinator that admits nothing, or the whole limit.
+/// Guards against an entry without a coordinator that admits no requests, or as many as the whole limit allows.
 #[test]
 fn without_a_grant_the_share_is_equal() {
     let limit = Share {
@@ -93,12 +93,12 @@
     assert_eq!(
         holder.share(Millis(99), lower, 9).concurrency,
         10,
-        "a lowered limit binds at once"
+        "a lowered limit applies at once"
     );
     assert_eq!(holder.share(Millis(100), limit, 9).concurrency, 8);
 }
 
-/// Guards against an entry that grants more than the limit to others, or for workspaces that it does not know.
+/// Guards against a coordinator that grants more than the limit, or a share for an unknown workspace.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_grants_shares_to_others() {
     let world = World::model(1).await;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,9 +1,9 @@
-//! Which agents an entry watches and takes for alive.
+//! Which agents an entry watches and considers alive.
 
 use sesamewing::{
     base::{Instance, Millis, Offset, ProcessName, Service},
     decide::member::{
-        Action, Membership, PeerState, WatchPolicy, GONE_AFTER, SUSPECT_AFTER, UNFIT_AFTER,
+        Action, Membership, PeerState, WatchPolicy, GONE_AFTER, SUSPECT_AFTER, UNREADY_AFTER,
     },
     wire::{AgentReport, AgentState, HostEntry, HostState, Hosts, Role},
 };
@@ -29,7 +29,7 @@
     }
 }
 
-/// Hosts in three zones: `n` each in the own zone, another zone of the region, and another region.
+/// Returns hosts in three zones, `n` in each: the entry's own zone, another zone of its region, and another region.
 fn hosts(n: usize) -> Hosts {
     let zones = ["east-a", "east-b", "west-a"];
     let hosts = (0..3 * n)
@@ -55,7 +55,7 @@
     }
 }
 
-fn wish(subset: usize) -> impl Fn(&Service) -> Option<WatchPolicy> {
+fn policy(subset: usize) -> impl Fn(&Service) -> Option<WatchPolicy> {
     move |_| {
         Some(WatchPolicy {
             subset,
@@ -86,28 +86,28 @@
     m.get(&name(i)).unwrap().state
 }
 
-/// Guards against work for silent agents, and against a recovered agent that stays out.
+/// Guards against requests to agents whose reports stopped, and against a recovered agent that gets none.
 #[test]
-fn silence_leads_to_suspect_and_gone() {
+fn missing_reports_lead_to_suspect_and_gone() {
     let mut m = members(&hosts(1));
-    m.tick(T0, wish(8));
+    m.tick(T0, policy(8));
     assert_eq!(state(&m, 0), PeerState::Joining);
     assert!(m.apply_report(T0, report(0, 1, 1, AgentState::Serving)));
     assert!(m.get(&name(0)).unwrap().accepts_requests());
-    m.tick(T0 + SUSPECT_AFTER, wish(8));
+    m.tick(T0 + SUSPECT_AFTER, policy(8));
     assert_eq!(state(&m, 0), PeerState::Suspect);
     assert!(!m.get(&name(0)).unwrap().accepts_requests());
-    m.tick(T0 + GONE_AFTER, wish(8));
+    m.tick(T0 + GONE_AFTER, policy(8));
     assert_eq!(state(&m, 0), PeerState::Gone);
     assert!(m.apply_report(T0 + GONE_AFTER, report(0, 1, 2, AgentState::Serving)));
     assert_eq!(state(&m, 0), PeerState::Alive);
 }
 
-/// Guards against a leaving agent that a later or reordered report brings back.
+/// Guards against a leaving agent that a later or reordered report makes alive again.
 #[test]
 fn leaving_is_final_for_a_run() {
     let mut m = members(&hosts(1));
-    m.tick(T0, wish(8));
+    m.tick(T0, policy(8));
     m.apply_report(T0, report(0, 1, 1, AgentState::Serving));
     m.apply_report(T0, report(0, 1, 3, AgentState::Leaving));
     assert!(
@@ -116,9 +116,9 @@
     );
     m.apply_report(T0, report(0, 1, 4, AgentState::Serving));
     assert_eq!(state(&m, 0), PeerState::Leaving);
-    // The list still shows it as live.
+    // The host list still shows the agent as live.
     m.apply_hosts(T0, &hosts(1));
-    m.tick(T0, wish(8));
+    m.tick(T0, policy(8));
     assert_eq!(state(&m, 0), PeerState::Leaving);
     m.apply_report(T0, report(0, 2, 1, AgentState::Serving));
     assert_eq!(
@@ -133,11 +133,11 @@
     assert_eq!(state(&m, 0), PeerState::Alive);
 }
 
-/// Guards against a stale or empty list that takes serving agents out, and against removed agents that stay.
+/// Guards against a stale or empty host list that takes serving agents out, and against removed agents that stay.
 #[test]
-fn direct_reports_win_over_the_list() {
+fn direct_reports_override_the_host_list() {
     let mut m = members(&hosts(1));
-    m.tick(T0, wish(8));
+    m.tick(T0, policy(8));
     m.apply_report(T0, report(0, 1, 1, AgentState::Serving));
     let leaving = Hosts {
         hosts: vec![host(0, "east-a", HostState::Leaving)],
@@ -147,17 +147,18 @@
     m.apply_hosts(T0, &Hosts::default());
     assert!(m.get(&name(0)).unwrap().accepts_requests());
     assert!(m.get(&name(1)).is_none(), "a removed agent without reports");
-    m.tick(T0 + SUSPECT_AFTER, wish(8));
+    m.tick(T0 + SUSPECT_AFTER, policy(8));
     m.apply_hosts(T0 + SUSPECT_AFTER, &Hosts::default());
     assert!(m.get(&name(0)).is_none());
 }
 
-/// Guards against a subset that ignores zones, exceeds its bound or reshuffles when one host changes.
+/// Guards against a subset that ignores zones, exceeds its bound or changes by more than one agent when one host
+/// changes.
 #[test]
 fn subset_is_bounded_near_and_stable() {
     let all = hosts(40);
     let mut m = members(&all);
-    m.tick(T0, wish(32));
+    m.tick(T0, policy(32));
     let before = watched(&m);
     assert_eq!(before.len(), 32);
     assert!(before
@@ -167,13 +168,13 @@
         let mut fewer = all.clone();
         fewer.hosts.retain(|h| h.name != *gone);
         let mut other = members(&fewer);
-        other.tick(T0, wish(32));
+        other.tick(T0, policy(32));
         let after = watched(&other);
         let kept = before.iter().filter(|n| after.contains(n)).count();
         assert_eq!((after.len(), kept), (32, 31), "removal {i}");
     }
     let mut small = members(&hosts(20));
-    small.tick(T0, wish(32));
+    small.tick(T0, policy(32));
     let near = |m: &Membership, zone: &str| {
         let zones = watched(m)
             .into_iter()
@@ -183,7 +184,7 @@
     assert_eq!((near(&small, "east-a"), near(&small, "east-b")), (20, 12));
 }
 
-/// Guards against entries that all watch the same agents and leave others without work.
+/// Guards against entries that all watch the same agents, so that the others get no requests.
 #[test]
 fn subsets_of_entries_cover_all_agents() {
     let all = hosts(40);
@@ -192,7 +193,7 @@
         let own = format!("entry-{e}").parse().unwrap();
         let mut m = Membership::new(own, "east".parse().unwrap(), "east-a".parse().unwrap());
         m.apply_hosts(T0, &all);
-        m.tick(T0, wish(16));
+        m.tick(T0, policy(16));
         seen.extend(watched(&m));
     }
     seen.sort();
@@ -200,12 +201,12 @@
     assert_eq!(seen.len(), 40);
 }
 
-/// Guards against an entry that serves nobody during a rollout because its subset lacks the version.
+/// Guards against an entry that cannot serve during a rollout because no agent of its subset has the desired version.
 #[test]
-fn agents_without_the_version_give_their_place() {
+fn agents_without_the_desired_version_are_replaced() {
     let mut m = members(&hosts(40));
     let mut now = T0;
-    let has = |n: &ProcessName| {
+    let has_version = |n: &ProcessName| {
         n.as_str()
             .trim_start_matches("agent-")
             .parse::<usize>()
@@ -213,21 +214,21 @@
             % 10
             == 7
     };
-    // Only one host in ten holds the version; 4 of them are in the own zone.
+    // Only one host in ten has the desired version; 4 of them are in the entry's own zone.
     for _ in 0..200 {
-        m.tick(now, wish(8));
+        m.tick(now, policy(8));
         for n in watched(&m) {
             let i = n.as_str().trim_start_matches("agent-").parse().unwrap();
             let mut r = report(i, 1, now.0, AgentState::Serving);
-            r.version = has(&n).then(|| "v1".parse().unwrap());
+            r.version = has_version(&n).then(|| "v1".parse().unwrap());
             m.apply_report(now, r);
         }
         now += Millis(500);
     }
-    let fit = watched(&m).iter().filter(|n| has(n)).count();
+    let ready = watched(&m).iter().filter(|n| has_version(n)).count();
     assert!(
-        fit >= 4,
-        "{fit} of {:?} after {} (unfit after {UNFIT_AFTER})",
+        ready >= 4,
+        "{ready} of {:?} after {} (unready after {UNREADY_AFTER})",
         watched(&m),
         now - T0
     );
@@ -237,7 +238,7 @@
 #[test]
 fn actions_match_the_watched_set() {
     let mut m = members(&hosts(4));
-    let (actions, _) = m.tick(T0, wish(4));
+    let (actions, _) = m.tick(T0, policy(4));
     assert_eq!(
         actions
             .iter()
@@ -245,8 +246,8 @@
             .count(),
         4
     );
-    assert_eq!(m.tick(T0, wish(4)).0, []);
-    let (actions, _) = m.tick(T0, wish(2));
+    assert_eq!(m.tick(T0, policy(4)).0, []);
+    let (actions, _) = m.tick(T0, policy(2));
     assert_eq!(
         actions
             .iter()
@@ -258,6 +259,6 @@
     assert_eq!(
         actions.len(),
         2,
-        "a service that left the settings is not watched"
+        "a service that is no longer in the settings is not watched"
     );
 }
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries: the budget under a storm, and what follows each loss.
+//! Retries: the budget under a retry storm, and what follows each failure of an attempt.
 
 mod entry_support;
 
@@ -25,7 +25,7 @@
     assert!(retries >= requests / 10, "{retries}");
 }
 
-/// Guards against a quiet time that saves up retries for a storm.
+/// Guards against a time without failures that saves up more than a burst of retries.
 #[test]
 fn quiet_time_saves_only_a_burst() {
     let mut budget = RetryBudget::default();
@@ -40,22 +40,23 @@
     );
 }
 
-/// Guards against a retry of what may have run, and against a restart of what was delivered.
+/// Guards against a retry of a non-repeatable request that may have run, and against a second start of a response that
+/// was delivered in part.
 #[test]
-fn losses_are_told_apart() {
-    let decide = |repeatable, delivered, loss| {
+fn each_failure_has_its_decision() {
+    let decide = |repeatable, delivered, failure| {
         let progress = Progress {
             repeatable,
             attempts: 1,
             allowed: 3,
             delivered,
         };
-        decide_retry(&progress, loss, &mut RetryBudget::default(), Percent(10))
+        decide_retry(&progress, failure, &mut RetryBudget::default(), Percent(10))
     };
-    let again = |advance| RetryDecision::Retry { advance };
+    let retry = |advance| RetryDecision::Retry { advance };
     let cases = [
-        (true, 0, AttemptFailure::Lost, again(false)),
-        (true, 0, AttemptFailure::Corrupt, again(false)),
+        (true, 0, AttemptFailure::Lost, retry(false)),
+        (true, 0, AttemptFailure::Corrupt, retry(false)),
         (true, 5, AttemptFailure::Lost, RetryDecision::Resume),
         (
             true,
@@ -63,14 +64,14 @@
             AttemptFailure::NotRun(NotRun::Leaving),
             RetryDecision::Resume,
         ),
-        // Delivered text may be wrong, so that a continuation would make a wrong answer whole.
+        // The delivered text may be wrong; a continuation would turn it into a complete but wrong response.
         (true, 5, AttemptFailure::Corrupt, RetryDecision::Stop),
         (true, 0, AttemptFailure::Deadline, RetryDecision::Stop),
         (false, 0, AttemptFailure::Lost, RetryDecision::Settle),
         (false, 0, AttemptFailure::Corrupt, RetryDecision::Settle),
-        (false, 0, AttemptFailure::Unsent, again(false)),
-        (false, 0, AttemptFailure::NotRun(NotRun::Log), again(false)),
-        (false, 0, AttemptFailure::NotRun(NotRun::Void), again(true)),
+        (false, 0, AttemptFailure::Unsent, retry(false)),
+        (false, 0, AttemptFailure::NotRun(NotRun::Log), retry(false)),
+        (false, 0, AttemptFailure::NotRun(NotRun::Void), retry(true)),
         (
             false,
             0,
@@ -86,18 +87,18 @@
         (false, 0, AttemptFailure::InProgress, RetryDecision::Stop),
         (false, 0, AttemptFailure::Deadline, RetryDecision::Stop),
     ];
-    for (repeatable, delivered, loss, want) in cases {
+    for (repeatable, delivered, failure, want) in cases {
         assert_eq!(
-            decide(repeatable, delivered, loss),
+            decide(repeatable, delivered, failure),
             want,
-            "{repeatable} {delivered} {loss:?}"
+            "{repeatable} {delivered} {failure:?}"
         );
     }
 }
 
-/// Guards against a storm of retries through the whole daemon, and against a false outcome for what never ran.
+/// Guards against a retry storm through a whole entry, and against a wrong outcome for requests that never ran.
 #[tokio::test(flavor = "multi_thread")]
-async fn storm_at_the_daemon_is_bounded() {
+async fn retry_storm_at_an_entry_is_bounded() {
     let world = World::model(4).await;
     world.agents.iter().for_each(|a| a.refuse(NotRun::Busy));
     let requests = 200;
@@ -113,7 +114,7 @@
     assert_eq!(world.metric("sesamewing_retries_total"), extra as u64);
 }
 
-/// Guards against a second attempt on the agent that just failed while others are left.
+/// Guards against a second attempt on the agent that just failed while there are untried ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn retry_uses_another_agent() {
     let world = World::model(3).await;
@@ -121,21 +122,21 @@
     let (status, _) = outcome(world.completion(false).send().await.unwrap()).await;
     assert_eq!(
         status, 504,
-        "each agent got the request, so it may have run"
+        "each agent received the request, so it may have run"
     );
     let runs: Vec<_> = world.agents.iter().map(|a| a.runs().len()).collect();
     assert_eq!(runs, [1, 1, 1]);
 }
 
-/// Guards against "not run" for a request whose earlier attempt was lost, when the last agent refuses it.
+/// Guards against "not run" for a request whose earlier attempt was lost, when the last agent rejects it.
 #[tokio::test(flavor = "multi_thread")]
-async fn earlier_loss_is_not_forgotten() {
+async fn earlier_lost_attempt_decides_the_outcome() {
     let world = World::model(2).await;
     let all = world.agents.clone();
     for agent in &world.agents {
         let all = all.clone();
         agent.frames(move |req| {
-            // The first attempt is cut, the second one refused.
+            // The first attempt ends without a response, the second one is rejected.
             if all.iter().map(|a| a.runs().len()).sum::<usize>() == 1 {
                 return Vec::new();
             }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: distance, load, prefixes, breakers, and the policies on one seeded load.
+//! Routing: distance, load, prefixes, breakers, and the policies under one simulated load.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -40,7 +40,7 @@
     RouteTable::new(targets, &weights(false), &route)
 }
 
-/// Settings that name version `v1`.
+/// Settings with desired version `v1`.
 fn weights(overlap: bool) -> Weights {
     Weights {
         version: version(),
@@ -84,7 +84,7 @@
     Policy::Reported,
 ];
 
-/// Guards against work far away while there is room nearby, and against a full zone that blocks the region.
+/// Guards against requests to distant agents while near ones have room, and against a full zone that blocks the region.
 #[test]
 fn nearest_agents_with_room_come_first() {
     let distances = [Distance::Zone, Distance::Region, Distance::Remote];
@@ -111,12 +111,12 @@
         let got = got.choose(&query(&[], 1)).unwrap();
         assert!(
             got.distance != Distance::Remote,
-            "without room nothing crosses regions"
+            "without room no request crosses regions"
         );
     }
 }
 
-/// Guards against a stale version, and against an agent that is tried twice while others are left.
+/// Guards against agents with another version, and against a second try of an agent while untried ones are left.
 #[test]
 fn version_and_tried_agents_are_excluded() {
     for policy in POLICIES {
@@ -148,10 +148,10 @@
     );
 }
 
-/// Guards against a rollout that refuses every request until the first host has the new version, against one that
-/// overloads that host, and against a stream that continues on another version.
+/// Guards against a rollout during which all requests are rejected until the first host has the new version, against
+/// overload of that host, and against a stream that continues on another version.
 #[test]
-fn earlier_version_answers_during_rollout() {
+fn earlier_version_serves_during_rollout() {
     let mut targets: Vec<_> = (0..4).map(|i| target(i, Distance::Zone)).collect();
     let earlier: VersionName = "v0".parse().unwrap();
     for t in &mut targets {
@@ -169,7 +169,7 @@
             let got = mixed.choose(&query(&[], random)).unwrap();
             assert_eq!(
                 got.name, targets[0].name,
-                "free capacity of the new version comes first"
+                "free capacity of the new version is used first"
             );
             got.view.begin(Millis(1000))
         })
@@ -208,7 +208,8 @@
     }
 }
 
-/// Guards against prefixes that go astray without reports, and against a hot prefix that overloads one agent.
+/// Guards against changing agents for a prefix that no agent reports, and against a frequent prefix that overloads one
+/// agent.
 #[test]
 fn affinity_is_consistent_and_bounded() {
     let targets: Vec<_> = (0..16).map(|i| target(i, Distance::Zone)).collect();
@@ -223,7 +224,7 @@
     };
     let first = choose(0);
     assert!((1..100).all(|random| choose(random) == first));
-    // A late report corrects the rendezvous choice.
+    // A later report takes precedence over the rendezvous hash.
     let holder = targets.iter().find(|t| t.name != first).unwrap();
     holder.view.apply_report(&report(0, vec![prefix]));
     assert_eq!(choose(0), holder.name);
@@ -235,11 +236,11 @@
         guards.push(t.view.begin(Millis(1)));
         most = most.max(t.view.in_flight());
     }
-    // The mean is 4; the slack of 25% allows 5, and one request may be on its way.
+    // The mean is 4; the slack of 25 % allows 5, plus the request that is being routed.
     assert!(most <= 6, "{most} of 64 at one agent");
 }
 
-/// Guards against a broken agent that keeps getting requests, and against one that never gets a probe.
+/// Guards against a failing agent that keeps getting requests, and against one that never gets a probe.
 #[test]
 fn breaker_opens_and_probes() {
     let mut b = Breaker::default();
@@ -264,12 +265,15 @@
     let last = later + OPEN_MIN.times(2);
     assert!(b.begin(last));
     b.release_probe();
-    assert!(b.begin(last), "a probe without a verdict is repeated");
+    assert!(
+        b.begin(last),
+        "a probe without success or failure is repeated"
+    );
     b.record_success();
     assert!(b.allows(last) && !b.begin(last));
 }
 
-/// Guards against an open breaker that is ignored, and against a service that stops when all are open.
+/// Guards against an open breaker that is ignored, and against a service that gets no requests when all are open.
 #[test]
 fn open_breakers_are_avoided() {
     let targets: Vec<_> = (0..2).map(|i| target(i, Distance::Zone)).collect();
@@ -285,11 +289,11 @@
     assert_matches!(table.choose(&query(&[], 1)), Some(_));
 }
 
-/// Guards against a window that ignores what other entries use, or shuts an entry out.
+/// Guards against a window that ignores the load of other entries, or leaves an entry without any room.
 #[test]
 fn window_follows_reports() {
     let targets: Vec<_> = (0..4).map(|i| target(i, Distance::Zone)).collect();
-    // Each agent runs 8 at once and takes 2 more.
+    // Each agent runs 8 requests at once and has room for 2 more.
     assert_eq!(table(targets.clone(), Policy::Choices).window(4), 40);
     let guards: Vec<_> = targets
         .iter()
@@ -307,21 +311,23 @@
     assert_eq!(
         table(targets, Policy::Choices).window(4),
         10,
-        "a quarter of the room stays"
+        "a quarter of the room remains"
     );
 }
 
-/// One endpoint of the simulation.
+/// A simulated endpoint.
 #[derive(Default)]
 struct Engine {
+    /// Ends of the running and waiting requests.
     running: Vec<Millis>,
     /// Cached prefixes, latest last.
     cache: VecDeque<u64>,
-    news: Vec<u64>,
+    /// Prefixes that were cached since the last report.
+    unreported: Vec<u64>,
 }
 
 #[derive(Debug)]
-struct Figures {
+struct Results {
     hits: f64,
     p50: u64,
     p95: u64,
@@ -331,9 +337,9 @@
 const ENTRIES: usize = 4;
 const CAPACITY: u32 = 8;
 
-/// Runs one seeded load of 30 s at about three quarters of the capacity through 4 entries that get a report of each
-/// endpoint at an interval in milliseconds.
-fn simulate(policy: Policy, interval: u64, seed: u64) -> Figures {
+/// Simulates 30 s of load at about three quarters of the capacity through 4 entries, which get a report of each
+/// endpoint every `interval` milliseconds.
+fn simulate(policy: Policy, interval: u64, seed: u64) -> Results {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
     let targets: Vec<Vec<Target>> = (0..ENTRIES)
@@ -346,15 +352,15 @@
         guards.retain(|(end, _)| *end > now);
         for (e, engine) in engines.iter_mut().enumerate() {
             engine.running.retain(|end| *end > now);
-            // At another time for each engine.
+            // The reports of the engines are spread over the interval.
             if ms % interval == interval * e as u64 / ENGINES as u64 {
                 let running = engine.running.len() as u32;
-                let mut report = report(running, std::mem::take(&mut engine.news));
+                let mut report = report(running, std::mem::take(&mut engine.unreported));
                 report.sequence = ms;
                 targets.iter().for_each(|t| t[e].view.apply_report(&report));
             }
         }
-        // 110 requests a second; a request takes 0.7 s with its prefix cached and 1.1 s without.
+        // 110 requests per second; a request takes 0.7 s with its prefix cached and 1.1 s without.
         if random.u32(0..1000) < 110 {
             // A few prefixes are frequent, most are rare.
             let prefix = (200.0_f64.powf(random.f64())) as u64;
@@ -379,11 +385,11 @@
                 engine.cache.pop_front();
             }
             if !hit {
-                engine.news.push(prefix);
+                engine.unreported.push(prefix);
             }
             hits += u32::from(hit);
             let run = if hit { 700 } else { 1100 };
-            // The request starts once all but `CAPACITY - 1` of those before it have ended.
+            // The request starts when at most `CAPACITY - 1` of the earlier ones are still running.
             let mut ends = engine.running.clone();
             ends.sort_unstable();
             let ahead = ends.len().checked_sub(CAPACITY as usize);
@@ -395,25 +401,25 @@
         }
     }
     times.sort_unstable();
-    Figures {
+    Results {
         hits: f64::from(hits) / times.len() as f64,
         p50: times[times.len() / 2],
         p95: times[times.len() * 95 / 100],
     }
 }
 
-/// Guards against a policy that is worse than the ones it is meant to replace; prints the figures.
+/// Guards against a policy that is worse than the simpler ones; prints the results.
 #[test]
 fn policies_on_one_load() {
     let at = |interval| {
         POLICIES.map(|p| {
             let f = simulate(p, interval, 42);
-            let Figures { hits, p50, p95 } = f;
+            let Results { hits, p50, p95 } = f;
             println!("reports every {interval} ms, {p}: prefix hits {hits:.2}, p50 {p50} ms, p95 {p95} ms");
             f
         })
     };
-    // The load when only heartbeats arrive; agents report changes sooner.
+    // The interval of heartbeats alone; agents report changes sooner.
     at(1000);
     let [affinity, choices, random, reported] = at(250);
     assert!(
@@ -421,19 +427,19 @@
         "affinity finds more cached prefixes"
     );
     assert!(affinity.p95 <= random.p95 && affinity.p50 <= choices.p50);
-    assert!(choices.p95 <= random.p95, "two choices beat one");
+    assert!(choices.p95 <= random.p95, "two choices are better than one");
     assert!(
         choices.p95 <= reported.p95,
         "stale reports alone send all requests to one agent"
     );
 }
 
-/// Guards against counts that drift when requests end.
+/// Guards against counts that do not fall when requests end.
 #[test]
-fn slots_count_down() {
-    let slot: Arc<AgentView> = Arc::default();
-    let guards: Vec<_> = (0..5).map(|_| slot.begin(Millis(1))).collect();
-    assert_eq!(slot.in_flight(), 5);
+fn in_flight_count_falls_when_requests_end() {
+    let view: Arc<AgentView> = Arc::default();
+    let guards: Vec<_> = (0..5).map(|_| view.begin(Millis(1))).collect();
+    assert_eq!(view.in_flight(), 5);
     drop(guards);
-    assert_eq!(slot.in_flight(), 0);
+    assert_eq!(view.in_flight(), 0);
 }
--- a/tests/share_pool.rs
+++ b/tests/share_pool.rs
@@ -1,4 +1,4 @@
-//! Shares of a workspace's limits between entries.
+//! Grants of shares of a workspace's limits.
 
 use sesamewing::{
     base::{Millis, ProcessName},
@@ -16,10 +16,10 @@
     text.parse().expect("a valid name")
 }
 
-/// Guards against the first entry that reports holding the whole limit, so that the others refuse requests of an idle
-/// workspace until it reports again.
+/// Guards against a first report that is granted the whole limit: the other entries would reject requests of an idle
+/// workspace until the first entry reports again.
 #[test]
-fn later_entries_find_room() {
+fn later_entries_get_a_share() {
     let mut pool = SharePool::default();
     let demand = Share {
         concurrency: 2,
@@ -28,7 +28,7 @@
     let mut sum = Share::default();
     for entry in ["a", "b", "c"] {
         let share = pool.grant(Millis(10), &name(entry), demand, LIMIT, LIFETIME, 3);
-        // At least the demand, and half of an equal share for growth.
+        // At least the demand plus half of an equal share, to leave room for growth.
         assert!(share.concurrency >= 10, "{entry}: {share:?}");
         assert!(share.rate >= 100_000, "{entry}: {share:?}");
         sum.concurrency += share.concurrency;
@@ -37,7 +37,7 @@
     assert!(sum.concurrency <= LIMIT.concurrency && sum.rate <= LIMIT.rate);
 }
 
-/// Guards against an overshoot when demand is beyond the limit, also when more entries report than are known.
+/// Guards against grants beyond the limit when demand exceeds it, also when more entries report than are known.
 #[test]
 fn grants_stay_within_the_limit() {
     for entries in [1, 2, 3, 9] {
