--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -160,7 +160,7 @@
 pub(super) async fn accept(ctx: &Context, req: Request<Incoming>) -> Result<Job, Reject> {
     let start = ctx.now();
     let catalog = ctx.catalog.borrow().clone();
-    let Some(catalog) = catalog.filter(|_| ctx.fleet_known.get()) else {
+    let Some(catalog) = catalog.filter(|_| ctx.table_loaded.get()) else {
         return Err(Reject::Starting(crate::base::jitter(STARTING_RETRY_AFTER)));
     };
     let names = &ctx.headers;
--- a/src/gateway/assignment.rs
+++ b/src/gateway/assignment.rs
@@ -1,57 +1,57 @@
-//! What entries tell agents, so that agents need not read the store.
+//! Assignment of an agent: what it has to load and from where. Entries send it, so that agents need not read the store.
 
 use std::{net::SocketAddr, rc::Rc};
 
 use serde::{Deserialize, Serialize};
 
-use super::{context::Context, members::NamedAge, OriginSpec, WeightVersion};
+use super::{context::Context, members::DesiredAge, OriginSpec, WeightVersion};
 use crate::base::{rendezvous, Millis, Service, Zone};
 
-/// Path at which an entry tells what the agents of a service have to do: followed by the service, the
-/// agent's zone and the tag of the last answer.
+/// Path of the assignment of a service's agents at an entry; followed by the service, the agent's zone and the tag of
+/// the last reply, separated by slashes.
 pub(crate) const ASSIGNMENT_PATH: &str = "/assignment/";
 
-/// Longest time for which a question waits for news.
+/// Longest time for which a long poll waits for a change.
 pub(crate) const ASSIGNMENT_WAIT: Millis = Millis(1500);
 
-/// Entries named to an agent.
+/// Largest number of entries in a reply that the agent may query next.
 const ENTRIES_MAX: usize = 6;
 
-/// Work of the agents of one service.
+/// Assignment of the agents of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// Model that the endpoints of the service load.
+    /// Model that the endpoints of the service load; `None` if they load none.
     pub model: Option<Rc<str>>,
-    /// Where the weights come from.
+    /// Store from which the weights are copied.
     pub origin: Option<OriginSpec>,
-    /// Newest named version.
+    /// Newest desired version of the model.
     pub newest: Option<WeightVersion>,
-    /// Versions with the time since they were named, as far as it is known.
-    pub named: Vec<NamedAge>,
+    /// Desired versions with known ages.
+    pub desired: Vec<DesiredAge>,
     /// Endpoints of the service with their zones.
     pub hosts: Vec<(SocketAddr, Zone)>,
-    /// Entries to ask next, those of the agent's zone first.
+    /// Entries to query next, those of the agent's zone first.
     pub entries: Vec<SocketAddr>,
-    /// Entries to be told of the endpoint.
+    /// Entries to notify of the endpoint's state.
     pub readers: Vec<SocketAddr>,
-    /// Hash of everything but ages and entries; the next question names it. If it is the one of the question, hosts and
-    /// versions are left out.
+    /// Hash of everything but ages and entries; the agent sends it with its next query. A reply to a query with the
+    /// same tag leaves out hosts and versions.
     pub tag: u64,
 }
 
 impl Assignment {
-    /// Returns the work of a service as an entry knows it, without the entries to ask and to tell.
+    /// Returns the assignment of a service from this entry's state; `entries` and `readers` are left empty.
     fn of(ctx: &Context, service: &Service) -> Self {
         let now = ctx.now();
         let catalog = ctx.catalog.borrow();
         let spec = catalog.as_ref().and_then(|c| c.services.get(service));
         let model = spec.and_then(|s| s.weights.as_ref()?.models.first().cloned());
-        let named = ctx.named.borrow();
-        let versions = model.as_ref().and_then(|m| named.get(m));
+        let desired = ctx.desired.borrow();
+        let versions = model.as_ref().and_then(|m| desired.get(m));
         let mut hosts: Vec<_> = ctx
-            .fleet
+            .endpoints
             .borrow()
-            .of(service)
+            .of_service(service)
             .map(|e| (e.record.addr, e.record.zone.clone()))
             .collect();
         hosts.sort_unstable();
@@ -62,59 +62,60 @@
             ..Self::default()
         };
         if let (Some(model), Some(versions)) = (&model, versions) {
-            let age = |(version, at)| NamedAge {
+            let age = |(version, at)| DesiredAge {
                 model: model.to_string(),
                 version,
                 age: now - at,
             };
-            out.named = versions.known().map(age).collect();
+            out.desired = versions.timed().map(age).collect();
         }
         out.model = model;
         out.tag = out.hash();
         out
     }
 
-    /// Adds the entries to ask and to tell, and encodes the answer.
+    /// Fills in `entries` and `readers` for an agent of a zone, and encodes the reply.
     fn encode(mut self, ctx: &Context, zone: &str) -> Option<Vec<u8>> {
         let (members, now) = (ctx.members.borrow(), ctx.now());
         self.entries = members.peers(zone, ENTRIES_MAX, now);
-        self.readers = members.told(zone, now);
+        self.readers = members.notify_targets(zone, now);
         postcard::to_stdvec(&self).ok()
     }
 
-    /// Returns the hash of what an agent acts on.
+    /// Returns the hash of the content on which an agent acts.
     fn hash(&self) -> u64 {
-        let known: Vec<_> = self.named.iter().map(|n| n.version).collect();
+        let known: Vec<_> = self.desired.iter().map(|n| n.version).collect();
         let content = (&self.model, &self.origin, self.newest, known, &self.hosts);
         let data = postcard::to_stdvec(&content).unwrap_or_default();
         rendezvous(b"assignment", &data)
     }
 }
 
-/// Answers the question of an agent: waits for news if it has the present answer.
-pub(super) async fn answer(ctx: &Context, question: &str) -> Option<Vec<u8>> {
+/// Replies to an agent's query `service/zone/tag`; a long poll if the agent already has the assignment with this tag.
+/// `None` if the query is malformed, or this entry has no catalog or endpoint table yet.
+pub(super) async fn reply(ctx: &Context, query: &str) -> Option<Vec<u8>> {
     if !ctx.is_informed() {
         return None;
     }
-    let mut parts = question.split('/');
+    let mut parts = query.split('/');
     let service: Service = parts.next()?.parse().ok()?;
     let zone = parts.next()?;
     let tag: u64 = parts.next()?.parse().ok()?;
     let end = ctx.now() + ASSIGNMENT_WAIT;
     loop {
-        let news = ctx.changed.notified();
+        let change = ctx.changed.notified();
         let mut current = Assignment::of(ctx, &service);
         if current.tag != tag {
             return current.encode(ctx, zone);
         }
         let left = end - ctx.now();
         if left == Millis::ZERO {
-            // The agent has these.
+            // The agent has these already.
             current.hosts = Vec::new();
-            current.named = Vec::new();
+            current.desired = Vec::new();
             return current.encode(ctx, zone);
         }
-        // The time is over or something changed: either way the answer is made anew.
-        let _ = tokio::time::timeout(left.duration(), news).await;
+        // The timeout has passed or the state has changed: either way the reply is computed again.
+        let _ = tokio::time::timeout(left.duration(), change).await;
     }
 }
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -1,4 +1,4 @@
-//! Routes, services and workspaces that an entry has in force.
+//! Catalog: the configuration of routes, services and workspaces that an entry has in force.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// What may be done with a request whose response was lost.
+/// How a request may be repeated after its response was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     /// The request may run any number of times.
@@ -36,33 +36,33 @@
     Resume,
 }
 
-/// A route: requests of one host and path prefix.
+/// Route: the configuration of requests with one host name and path prefix.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: Rc<str>,
     /// Path prefix; begins and ends with a slash.
     pub prefix: Rc<str>,
-    /// Services with their weights; at least one.
+    /// Services with their weights in the traffic split; at least one.
     pub targets: Vec<(Service, u32)>,
-    /// Whether the response is a stream of events.
+    /// Whether the response is a stream of server-sent events.
     pub streaming: bool,
-    /// What may be repeated.
+    /// How a request may be repeated after its response was lost.
     pub repeat: Repeat,
-    /// Endpoints that one request may be sent to; at least 1.
+    /// Largest number of endpoints to which one request may be sent; at least 1.
     pub attempts: u32,
-    /// Longest time that a caller is kept waiting.
+    /// Time limit of a request, from its arrival to its response.
     pub timeout: Millis,
-    /// Time within which a response is worth most; of a stream, its first event.
+    /// Latency objective: time within which the response, or the first event of a stream, should arrive.
     pub objective: Millis,
-    /// Rank of the route; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
 }
 
 impl Route {
-    /// Chooses the service of a request from a number that is uniform over requests.
+    /// Chooses the service of a request by weight; `draw` is a number that is uniform over requests.
     pub fn service(&self, draw: u64) -> &Service {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.1)).sum();
         let mut left = draw % total.max(1);
@@ -76,27 +76,28 @@
     }
 }
 
-/// Share of the expected output, in percent, that few outputs exceed; callers expect the median.
+/// Output length, in percent of the median that callers expect, which few outputs exceed.
 const OUTPUT_MARGIN: u32 = 150;
 
-/// Time of a decoding step while the engine also reads prompts, in percent of one without.
+/// Duration of a decoding step while the engine also reads prompts, in percent of a step without.
 const SHARED_STEP: f64 = 130.0;
 
-/// Work that an engine does at once, and how fast.
+/// Capacity and speed of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpeed {
-    /// Sequences of one batch.
+    /// Sequences in one batch.
     pub slots: u32,
-    /// Time of one decoding step.
+    /// Time of one decoding step without sequences, in milliseconds.
     pub step_ms: f64,
-    /// Added time of a step for each sequence.
+    /// Time added to a step by each sequence of the batch, in milliseconds.
     pub sequence_ms: f64,
     /// Prompt tokens read in a millisecond.
     pub prompt_rate: f64,
 }
 
 impl EngineSpeed {
-    /// Estimates how long a request keeps its slot when the batch is full; `hint` is the output that its caller expects.
+    /// Estimates how long a request occupies its slot while the batch is full. Lengths are in tokens: `output` is the
+    /// largest allowed output, `hint` the output that the caller expects.
     pub fn duration(&self, prompt: u32, output: u32, hint: Option<u32>) -> Millis {
         let expected = hint.map(|n| n.saturating_mul(OUTPUT_MARGIN) / 100);
         let output = expected.map_or(output, |n| n.min(output));
@@ -107,52 +108,52 @@
     }
 }
 
-/// Weights that a service's engines load.
+/// Weights that the engines of a service load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceWeights {
-    /// Model names.
+    /// Models by name.
     pub models: Vec<Rc<str>>,
 }
 
-/// A service.
+/// Configuration of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceSpec {
-    /// Connections that an endpoint accepts from all callers.
+    /// Largest number of connections that an endpoint accepts from all entries together.
     pub connections: u32,
-    /// Speed of its engines; `None` for plain services.
+    /// Speed of the service's engines; `None` for services without engines.
     pub engine: Option<EngineSpeed>,
-    /// Weights of its engines; `None` for plain services.
+    /// Weights of the service's engines; `None` for services without engines.
     pub weights: Option<ServiceWeights>,
-    /// The weight store, if the service is one.
+    /// Location of the weight store, if this service is the weight store.
     pub origin: Option<OriginSpec>,
 }
 
-/// Where the weight store is.
+/// Location of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginSpec {
-    /// Address.
+    /// Address for HTTP requests.
     pub addr: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the store, if it is known.
     pub zone: Option<Zone>,
 }
 
-/// A workspace with keys.
+/// Workspace that has API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkspaceSpec {
-    /// Name.
+    /// Name of the workspace.
     pub name: Workspace,
-    /// Rank that replaces the route's; 0 is the most urgent.
+    /// Priority that replaces the route's; 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// Limits of what a caller may send.
+/// Limits for connections and requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest request head, in bytes.
     pub header_max: usize,
     /// Largest request body, in bytes.
     pub body_max: usize,
-    /// Longest time to send a request.
+    /// Longest time that a caller may take to send a request.
     pub send_time: Millis,
     /// Longest time that a connection may be idle.
     pub idle_time: Millis,
@@ -169,23 +170,23 @@
     }
 }
 
-/// Everything that one version of the configuration says.
+/// One version of the complete configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// Version.
+    /// Version of this configuration.
     pub version: CatalogVersion,
-    /// Routes by host name; longest prefix first.
+    /// Routes by host name in lower case; the longest prefix first.
     pub routes: HashMap<Rc<str>, Vec<Rc<Route>>>,
     /// Services by name.
     pub services: HashMap<Service, ServiceSpec>,
-    /// Workspaces by key; `None` if callers need no keys.
+    /// Workspaces by API key; `None` if callers need no keys.
     pub keys: Option<HashMap<Bytes, Rc<WorkspaceSpec>>>,
-    /// Limits of callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
 impl Catalog {
-    /// Adds a route of a host; keeps the longest prefix first.
+    /// Adds a route of a host, and keeps the routes of the host in order, the longest prefix first.
     pub fn add_route(&mut self, host: &str, route: Route) {
         let list = self
             .routes
@@ -195,7 +196,7 @@
         list.insert(at, Rc::new(route));
     }
 
-    /// Finds the route of a request: the longest prefix of its host that begins the path.
+    /// Returns the route of a request: the one of its host whose prefix is the longest that begins the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let list = match self.routes.get(name) {
@@ -205,7 +206,7 @@
         list.iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// Returns the weight store, if the catalog names one.
+    /// Returns the location of the weight store, if a service is the weight store.
     pub fn origin(&self) -> Option<&OriginSpec> {
         self.services.values().find_map(|s| s.origin.as_ref())
     }
--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -4,10 +4,10 @@
 
 use super::{
     accept::Job,
-    balance::{Ask, Loads, Refusal, Wanted},
     context::Context,
-    fleet::EndpointId,
+    endpoint_table::EndpointId,
     forward::Attempts,
+    load_balancer::{EndpointQuery, PendingLoads, Refusal, WeightRequirement},
     record::WeightVersion,
 };
 use crate::base::Millis;
@@ -57,41 +57,44 @@
             spec.map_or(0, |s| s.connections),
         )
     };
-    let all = ctx.named.borrow();
+    let all = ctx.desired.borrow();
     let model = job.model.as_deref().filter(|_| engine.is_some());
     let named = model.and_then(|m| all.get(m));
-    let turns = named.map(|n| ctx.turns(&job.service, n));
+    let schedule = named.map(|n| ctx.load_schedule(&job.service, n));
     let weights = model.map(|model| {
-        let (oldest, waiting) = named.map(|n| ctx.oldest_versions(n)).unwrap_or_default();
+        let (oldest, oldest_queued) = named.map(|n| ctx.oldest_versions(n)).unwrap_or_default();
         let bound = ctx.bounds.get().version;
-        let loads = turns.as_deref().zip(named).map(|(turns, named)| Loads {
-            turns,
-            named,
-            bound,
-        });
-        Wanted {
+        let pending = schedule
+            .as_deref()
+            .zip(named)
+            .map(|(schedule, desired)| PendingLoads {
+                schedule,
+                desired,
+                bound,
+            });
+        WeightRequirement {
             model,
-            loads,
+            pending,
             oldest,
-            waiting,
+            oldest_queued,
         }
     });
-    let homes = ctx.homes.borrow();
-    let ask = Ask {
+    let owned = ctx.owned.borrow();
+    let ask = EndpointQuery {
         zone: &ctx.settings.zone,
         weights,
         exact: attempts.version,
         tried: &attempts.tried,
-        homes: &homes,
-        returning: job.retrying,
+        owned: &owned,
+        retrying: job.retrying,
         read_rate: engine.map(|e| e.prompt_rate),
         duration: engine.map_or(Millis::ZERO, |e| {
             e.duration(job.prompt_tokens, job.output_max, job.output_hint)
         }),
     };
-    let fleet = ctx.fleet.borrow();
-    let mut balance = ctx.balance.borrow_mut();
-    let e = balance.pick(fleet.of(&job.service), &ask, now)?;
+    let fleet = ctx.endpoints.borrow();
+    let mut balance = ctx.balancer.borrow_mut();
+    let e = balance.pick(fleet.of_service(&job.service), &ask, now)?;
     let version = model.and_then(|m| balance.version(e, m));
     let begin_by = version.and_then(|v| ctx.begin_by(named?, v));
     let binds = weights.is_some_and(|w| w.oldest > WeightVersion::default());
--- a/src/gateway/packed.rs
+++ b/src/gateway/compression.rs
@@ -1,37 +1,38 @@
-//! Compressed form of the catalog, in which entries pass it on.
+//! Compression of the catalog for transfer between entries.
 //!
-//! The links of all entries of a zone are shared by requests; the text of a catalog shrinks to about a tenth.
+//! Requests and transfers share the links of the entries of a zone; compression reduces the text of a catalog to about
+//! a tenth.
 
 use std::io::{self, Read, Write};
 
 use bytes::Bytes;
 use flate2::{read::ZlibDecoder, write::ZlibEncoder, Compression};
 
-/// Largest catalog that is taken, in bytes.
-const SIZE_MAX: u64 = 16 << 20;
+/// Limit on the size of an uncompressed catalog, in bytes.
+const UNCOMPRESSED_MAX: u64 = 16 << 20;
 
 /// Compresses an encoded catalog.
 ///
 /// # Errors
 ///
 /// Returns an error only if memory cannot be written.
-pub fn pack(raw: &[u8]) -> io::Result<Bytes> {
+pub fn compress(raw: &[u8]) -> io::Result<Bytes> {
     let mut out = ZlibEncoder::new(Vec::new(), Compression::fast());
     out.write_all(raw)?;
     out.finish().map(Bytes::from)
 }
 
-/// Returns the encoded catalog.
+/// Decompresses an encoded catalog.
 ///
 /// # Errors
 ///
 /// Returns an error if the data is malformed or the catalog is too large.
-pub fn unpack(data: &[u8]) -> io::Result<Bytes> {
+pub fn decompress(data: &[u8]) -> io::Result<Bytes> {
     let mut out = Vec::new();
-    let mut limited = ZlibDecoder::new(data).take(SIZE_MAX);
+    let mut limited = ZlibDecoder::new(data).take(UNCOMPRESSED_MAX);
     limited.read_to_end(&mut out)?;
     if limited.limit() == 0 {
-        return Err(io::Error::other("the catalog is too large"));
+        return Err(io::Error::other("the catalog is larger than 16 MiB"));
     }
     Ok(out.into())
 }
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -9,17 +9,17 @@
 use tokio::sync::Notify;
 
 use super::{
-    balance::Balance,
     catalog::{Catalog, CatalogVersion},
-    fleet::{EndpointId, Fleet},
-    homes::homes,
+    desired::DesiredVersions,
+    endpoint_table::{EndpointId, EndpointTable},
+    load_balancer::LoadBalancer,
+    load_view::Outcome,
     log_event,
-    members::{Members, NamedAge},
+    members::{DesiredAge, Membership},
     metrics::GatewayMetrics,
-    named::Named,
+    ownership::owned_endpoints,
     record::WeightVersion,
-    turns::Turns,
-    view::Outcome,
+    schedule::LoadSchedule,
     Bounds, GatewaySettings, Headers,
 };
 use crate::{
@@ -29,63 +29,64 @@
     http::Pool,
 };
 
-/// Time before the bound of a version from which requests no longer go to endpoints with an older one, and from which
-/// they go there only if they begin at once. The rest covers the ways of the record and of the request.
+/// Time before a desired version is enforced from which no request is sent to an endpoint with an older one, and from
+/// which a request is sent there only if it can begin at once. The margins cover the time in which the operator's
+/// record reaches an entry and in which a request reaches its endpoint.
 const BEGIN_MARGIN: Millis = Millis(900);
 const WAIT_MARGIN: Millis = Millis(2000);
 
-/// Time before the bound of a version at which requests that have not begun on an older one are taken back.
-const RECALL_MARGIN: Millis = Millis(150);
+/// Time before a desired version is enforced at which requests that have not begun on an older one are cancelled.
+const CANCEL_MARGIN: Millis = Millis(150);
 
-/// Newest versions whose turns are foreseen; hosts leave out versions that are older.
-const TURN_VERSIONS: usize = 3;
+/// Number of newest desired versions that have a load schedule; hosts skip versions older than these.
+const SCHEDULED_VERSIONS: usize = 3;
 
-/// Entries among which the deployment's burst of retries is divided at least.
-const BUDGET_SHARES: u32 = 8;
+/// Smallest number of entries among which the deployment's burst of retries is divided.
+const BUDGET_SHARES_MIN: u32 = 8;
 
-/// State of an entry.
+/// Shared state of an entry.
 #[derive(Debug)]
 pub(super) struct Context {
     pub(super) clock: SystemClock,
     pub(super) settings: GatewaySettings,
-    /// Promises in force; a reload of the settings changes them.
+    /// Guaranteed bounds in force; a reload of the settings replaces them.
     pub(super) bounds: Cell<Bounds>,
     pub(super) headers: Headers,
     pub(super) pool: Pool,
     pub(super) metrics: GatewayMetrics,
     pub(super) catalog: RefCell<Option<Rc<Catalog>>>,
-    /// Encoded form of the catalog, and its compressed form once another entry asked for it.
+    /// Encoded catalog, and its compressed form from the first query of another entry on.
     pub(super) raw_catalog: RefCell<Bytes>,
-    pub(super) packed_catalog: RefCell<Option<Bytes>>,
+    pub(super) compressed_catalog: RefCell<Option<Bytes>>,
     /// Wakes the follower of the operator's records.
-    pub(super) news: Notify,
-    pub(super) fleet: RefCell<Fleet>,
-    pub(super) balance: RefCell<Balance>,
-    pub(super) members: RefCell<Members>,
-    pub(super) named: RefCell<HashMap<Rc<str>, Named>>,
-    /// Turns of each service, for the newest named version and the endpoints at the last change.
-    turns: RefCell<HashMap<Service, Rc<Turns>>>,
+    pub(super) operator_wake: Notify,
+    pub(super) endpoints: RefCell<EndpointTable>,
+    pub(super) balancer: RefCell<LoadBalancer>,
+    pub(super) members: RefCell<Membership>,
+    pub(super) desired: RefCell<HashMap<Rc<str>, DesiredVersions>>,
+    /// Load schedule of each service, for its newest desired versions and the endpoints since the last change.
+    schedules: RefCell<HashMap<Service, Rc<LoadSchedule>>>,
     budgets: RefCell<HashMap<Service, RetryBudget>>,
-    /// Endpoints of which this entry is the home.
-    pub(super) homes: RefCell<HashSet<EndpointId>>,
-    /// Whether the endpoints were read once.
-    pub(super) fleet_known: Cell<bool>,
-    /// Whether the table of endpoints changed since that was told.
-    pub(super) fleet_changed: Cell<bool>,
-    /// Since when this entry reads the store.
-    pub(super) reads_since: Cell<Option<Millis>>,
-    /// When the next read of the endpoints is due.
-    pub(super) read_due: Cell<Millis>,
-    /// Wakes those who wait for a change of catalog, named versions or endpoints.
+    /// Endpoints that this entry owns.
+    pub(super) owned: RefCell<HashSet<EndpointId>>,
+    /// Whether the endpoint table was loaded, from the store or from another entry.
+    pub(super) table_loaded: Cell<bool>,
+    /// Whether the endpoint table changed since the last call of [`Context::notify_changed`].
+    pub(super) table_changed: Cell<bool>,
+    /// Time since which this entry has been a zone reader; `None` while it is not.
+    pub(super) reader_since: Cell<Option<Millis>>,
+    /// Time at which the next read of the endpoints' records is due.
+    pub(super) next_read: Cell<Millis>,
+    /// Wakes the long polls that wait for a change of catalog, desired versions or endpoints.
     pub(super) changed: Notify,
-    /// Makes the next beat early.
-    pub(super) beat_soon: Notify,
-    /// Wakes those who take over what other entries have.
-    pub(super) heard: Notify,
-    /// Start of the process.
+    /// Makes this entry send its next datagram early.
+    pub(super) gossip_soon: Notify,
+    /// Wakes the tasks that fetch the catalog or the endpoint table from other entries.
+    pub(super) peer_ahead: Notify,
+    /// Time at which the process started.
     pub(super) started: Millis,
     pub(super) draining: Cell<bool>,
-    /// Requests in progress.
+    /// Requests of callers in progress.
     pub(super) running: Cell<u32>,
 }
 
@@ -93,7 +94,7 @@
     pub(super) fn new(
         settings: GatewaySettings,
         headers: Headers,
-        members: Members,
+        members: Membership,
         metrics: GatewayMetrics,
     ) -> Rc<Self> {
         let clock = SystemClock::start_late();
@@ -107,22 +108,22 @@
             metrics,
             catalog: RefCell::default(),
             raw_catalog: RefCell::default(),
-            packed_catalog: RefCell::default(),
-            news: Notify::new(),
-            fleet: RefCell::default(),
-            balance: RefCell::default(),
+            compressed_catalog: RefCell::default(),
+            operator_wake: Notify::new(),
+            endpoints: RefCell::default(),
+            balancer: RefCell::default(),
             members: RefCell::new(members),
-            named: RefCell::default(),
-            turns: RefCell::default(),
+            desired: RefCell::default(),
+            schedules: RefCell::default(),
             budgets: RefCell::default(),
-            homes: RefCell::default(),
-            fleet_known: Cell::default(),
-            fleet_changed: Cell::default(),
-            reads_since: Cell::default(),
-            read_due: Cell::default(),
+            owned: RefCell::default(),
+            table_loaded: Cell::default(),
+            table_changed: Cell::default(),
+            reader_since: Cell::default(),
+            next_read: Cell::default(),
             changed: Notify::new(),
-            beat_soon: Notify::new(),
-            heard: Notify::new(),
+            gossip_soon: Notify::new(),
+            peer_ahead: Notify::new(),
             draining: Cell::default(),
             running: Cell::default(),
         })
@@ -132,7 +133,7 @@
         self.clock.now()
     }
 
-    /// Takes over the promises of changed settings; sockets and names stay until a restart.
+    /// Replaces the bounds by those of the reloaded settings; sockets and names change only by a restart.
     pub(super) fn reload(&self, load: &mut impl FnMut() -> eyre::Result<GatewaySettings>) {
         match load() {
             Ok(new) => {
@@ -143,23 +144,24 @@
         }
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether callers may be sent to this entry.
     pub(super) fn is_ready(&self) -> bool {
         !self.draining.get() && self.is_informed()
     }
 
-    /// Returns whether this entry knows endpoints and catalog.
+    /// Returns whether this entry has an endpoint table and a catalog.
     pub(super) fn is_informed(&self) -> bool {
-        self.fleet_known.get() && self.catalog.borrow().is_some()
+        self.table_loaded.get() && self.catalog.borrow().is_some()
     }
 
-    /// Returns the version of the catalog in force.
+    /// Returns the version of the catalog in force; zero before the first one.
     pub(super) fn catalog_version(&self) -> CatalogVersion {
         let catalog = self.catalog.borrow();
         catalog.as_ref().map(|c| c.version).unwrap_or_default()
     }
 
-    /// Puts a catalog in force unless a newer one is; returns whether it did. `raw` is passed on to other entries.
+    /// Puts a catalog in force unless it is no newer than the present one; returns whether it did. `raw` is its encoded
+    /// form, for other entries.
     pub(super) fn set_catalog(&self, catalog: Catalog, raw: Bytes) -> bool {
         let mut current = self.catalog.borrow_mut();
         let known = current.as_ref().map(|c| c.version);
@@ -168,38 +170,46 @@
         }
         *current = Some(Rc::new(catalog));
         *self.raw_catalog.borrow_mut() = raw;
-        *self.packed_catalog.borrow_mut() = None;
+        *self.compressed_catalog.borrow_mut() = None;
         drop(current);
-        self.tell();
+        self.notify_changed();
         true
     }
 
-    /// Notes a named version; returns whether it is newer than the known one.
+    /// Records a desired version; returns whether it is newer than the known ones.
     ///
-    /// `found` says that the process started after the version was named.
-    pub(super) fn name_version(&self, model: Rc<str>, version: WeightVersion, found: bool) -> bool {
+    /// `found` says that the version was already desired when this process started.
+    pub(super) fn record_desired(
+        &self,
+        model: Rc<str>,
+        version: WeightVersion,
+        found: bool,
+    ) -> bool {
         let now = self.now();
         let newer = {
-            let mut named = self.named.borrow_mut();
-            named.entry(model).or_default().note(version, found, now)
+            let mut desired = self.desired.borrow_mut();
+            desired
+                .entry(model)
+                .or_default()
+                .record(version, found, now)
         };
         if newer {
-            self.tell();
+            self.notify_changed();
         }
         newer
     }
 
-    /// Takes over named versions that another entry told.
-    pub(super) fn learn_versions(&self, told: Vec<NamedAge>) {
+    /// Merges desired versions that another entry reported.
+    pub(super) fn merge_desired(&self, reported: Vec<DesiredAge>) {
         let now = self.now();
-        for n in told {
-            let learned = {
-                let mut named = self.named.borrow_mut();
-                let versions = named.entry(n.model.as_str().into()).or_default();
-                versions.learn(n.version, now - n.age)
+        for n in reported {
+            let changed = {
+                let mut desired = self.desired.borrow_mut();
+                let versions = desired.entry(n.model.as_str().into()).or_default();
+                versions.merge(n.version, now - n.age)
             };
-            if learned {
-                self.tell();
+            if changed {
+                self.notify_changed();
                 let (model, version, age) = (n.model, n.version, n.age);
                 emit!(
                     log_event::VERSION,
@@ -209,13 +219,13 @@
         }
     }
 
-    /// Returns the named versions that may not bind yet at every entry.
-    pub(super) fn told_versions(&self) -> Vec<NamedAge> {
+    /// Returns the desired versions for gossip: those that may not be enforced yet at every entry.
+    pub(super) fn desired_ages(&self) -> Vec<DesiredAge> {
         let now = self.now();
         let limit = self.bounds.get().version.times(2);
-        let named = self.named.borrow();
-        let all = named.iter().flat_map(|(model, versions)| {
-            versions.known().map(move |(version, at)| NamedAge {
+        let desired = self.desired.borrow();
+        let all = desired.iter().flat_map(|(model, versions)| {
+            versions.timed().map(move |(version, at)| DesiredAge {
                 model: model.to_string(),
                 version,
                 age: now - at,
@@ -224,77 +234,90 @@
         all.filter(|n| n.age < limit).collect()
     }
 
-    /// Returns the oldest version that a request may begin on now, and the oldest one that may still begin when it has
-    /// waited at an endpoint.
-    pub(super) fn oldest_versions(&self, named: &Named) -> (WeightVersion, WeightVersion) {
+    /// Returns the oldest version on which a request may begin now, and the oldest one on which it may begin after
+    /// waiting in an endpoint's queue.
+    pub(super) fn oldest_versions(
+        &self,
+        desired: &DesiredVersions,
+    ) -> (WeightVersion, WeightVersion) {
         let bound = self.bounds.get().version;
         let binding = |margin| {
-            named
-                .binding(bound - margin, self.now())
+            desired
+                .enforced(bound - margin, self.now())
                 .unwrap_or_default()
         };
         (binding(BEGIN_MARGIN), binding(WAIT_MARGIN))
     }
 
-    /// Returns whether an endpoint has yet to load the weights of its service.
-    pub(super) fn awaits_weights(&self) -> bool {
+    /// Returns whether an endpoint has no version of its service's weights loaded, or an older one than the newest
+    /// desired one.
+    pub(super) fn is_load_pending(&self) -> bool {
         let catalog = self.catalog.borrow();
         let Some(catalog) = &*catalog else {
             return false;
         };
-        let named = self.named.borrow();
-        self.fleet.borrow().iter().any(|e| {
+        let desired = self.desired.borrow();
+        self.endpoints.borrow().iter().any(|e| {
             let spec = catalog.services.get(&e.record.service);
             let weights = spec.and_then(|s| s.weights.as_ref());
             let models = weights.into_iter().flat_map(|w| &w.models);
             models.into_iter().any(|model| {
-                let newest = named.get(model).and_then(Named::newest);
+                let newest = desired.get(model).and_then(DesiredVersions::newest);
                 e.weights(model)
                     .is_none_or(|v| newest.is_some_and(|n| v < n))
             })
         })
     }
 
-    /// Divides the endpoints among the entries that are live now.
-    pub(super) fn divide(&self) {
+    /// Recomputes which endpoints this entry owns, from the entries that are live now.
+    pub(super) fn update_ownership(&self) {
         let members = self.members.borrow();
-        let entries = members.places(self.now());
-        let mine = homes(&self.fleet.borrow(), &entries, members.me().peer);
-        *self.homes.borrow_mut() = mine;
+        let entries = members.ready_entries(self.now());
+        let owned = owned_endpoints(&self.endpoints.borrow(), &entries, members.me().peer);
+        *self.owned.borrow_mut() = owned;
     }
 
-    /// Forgets the turns, because endpoints came or left.
-    pub(super) fn reset_turns(&self) {
-        self.turns.borrow_mut().clear();
+    /// Discards the load schedules, because endpoints were added or removed.
+    pub(super) fn clear_schedules(&self) {
+        self.schedules.borrow_mut().clear();
     }
 
-    /// Returns the turns of a service for the newest named versions.
-    pub(super) fn turns(&self, service: &Service, named: &Named) -> Rc<Turns> {
-        let mut all = self.turns.borrow_mut();
+    /// Returns the load schedule of a service for the newest desired versions.
+    pub(super) fn load_schedule(
+        &self,
+        service: &Service,
+        desired: &DesiredVersions,
+    ) -> Rc<LoadSchedule> {
+        let mut all = self.schedules.borrow_mut();
         match all.get(service) {
-            Some(turns) if turns.newest() == named.newest() => turns.clone(),
+            Some(schedule) if schedule.newest() == desired.newest() => schedule.clone(),
             _ => {
-                let versions: Vec<_> = named.latest(TURN_VERSIONS).collect();
+                let versions: Vec<_> = desired.latest(SCHEDULED_VERSIONS).collect();
                 let catalog = self.catalog.borrow();
                 let origin = catalog.as_ref().and_then(|c| c.origin()?.zone.as_ref());
-                let fleet = self.fleet.borrow();
-                let turns = Rc::new(Turns::new(&fleet, service, &versions, origin));
-                all.insert(service.clone(), turns.clone());
-                turns
+                let table = self.endpoints.borrow();
+                let schedule = Rc::new(LoadSchedule::new(&table, service, &versions, origin));
+                all.insert(service.clone(), schedule.clone());
+                schedule
             }
         }
     }
 
-    /// Returns when a request that was sent to an endpoint with a version has to have begun.
-    pub(super) fn begin_by(&self, named: &Named, version: WeightVersion) -> Option<Millis> {
-        let outdated = named.outdated(version)?;
-        Some(outdated + self.bounds.get().version - RECALL_MARGIN)
+    /// Returns the time by which a request sent to an endpoint with this version must have begun; `None` if the version
+    /// is not superseded.
+    pub(super) fn begin_by(
+        &self,
+        desired: &DesiredVersions,
+        version: WeightVersion,
+    ) -> Option<Millis> {
+        let since = desired.superseded_at(version)?;
+        Some(since + self.bounds.get().version - CANCEL_MARGIN)
     }
 
     fn budget<T>(&self, service: &Service, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
         let bounds = self.bounds.get();
-        let shares = BUDGET_SHARES.max(self.members.borrow().count() as u32 * 3 / 2);
+        let shares = BUDGET_SHARES_MIN.max(self.members.borrow().count() as u32 * 3 / 2);
         let burst = (bounds.retry_burst / shares).max(1);
         let budget = budgets
             .entry(service.clone())
@@ -302,12 +325,12 @@
         f(budget)
     }
 
-    /// Notes a caller's request in the budget of its service.
+    /// Counts a caller's request, which adds to the retry budget of its service.
     pub(super) fn count_request(&self, service: &Service) {
         self.budget(service, |b| b.record_request(self.bounds.get().retries));
     }
 
-    /// Takes a further attempt from the budget of a service; returns whether there was one.
+    /// Takes a retry from the budget of a service; returns whether there was one left.
     pub(super) fn take_retry(&self, service: &Service) -> bool {
         let taken = self.budget(service, |b| b.try_take(self.bounds.get().retries));
         if taken {
@@ -316,13 +339,13 @@
         taken
     }
 
-    /// Notes the end of a request at an endpoint.
+    /// Records the end of a request at an endpoint.
     pub(super) fn end(&self, id: &EndpointId, outcome: Outcome) {
-        self.balance.borrow_mut().end(id, outcome, self.now());
+        self.balancer.borrow_mut().end(id, outcome, self.now());
     }
 }
 
-/// Counts a request at an endpoint; without a verdict it ends as abandoned.
+/// A request in flight at an endpoint. Dropped without [`InFlight::end`], it counts as abandoned.
 #[derive(Debug)]
 pub(super) struct InFlight {
     ctx: Rc<Context>,
@@ -333,9 +356,9 @@
 }
 
 impl InFlight {
-    /// Counts a request with a prompt of some tokens.
+    /// Counts a request that is sent to an endpoint; `prompt` is its length in tokens.
     pub(super) fn begin(ctx: &Rc<Context>, id: EndpointId, prompt: u32) -> Self {
-        ctx.balance.borrow_mut().begin(&id, prompt, ctx.now());
+        ctx.balancer.borrow_mut().begin(&id, prompt, ctx.now());
         Self {
             ctx: ctx.clone(),
             id,
@@ -344,14 +367,14 @@
         }
     }
 
-    /// Notes that the endpoint has read the prompt.
-    pub(super) fn has_read(&mut self) {
+    /// Records that the endpoint has read the prompt.
+    pub(super) fn prompt_read(&mut self) {
         let prompt = std::mem::take(&mut self.prompt);
-        let mut balance = self.ctx.balance.borrow_mut();
-        balance.has_read(&self.id, prompt);
+        let mut balance = self.ctx.balancer.borrow_mut();
+        balance.prompt_read(&self.id, prompt);
     }
 
-    /// Ends the request with a verdict on the endpoint.
+    /// Ends the request with its outcome at the endpoint.
     pub(super) fn end(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -359,12 +382,12 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.has_read();
+        self.prompt_read();
         self.ctx.end(&self.id, self.outcome);
     }
 }
 
-/// Counts a request of a caller.
+/// A caller's request in progress; counted until it is dropped.
 #[derive(Debug)]
 pub(super) struct Running(Rc<Context>);
 
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::Members;
+use super::Membership;
 use crate::base::Millis;
 
 /// Largest number of addresses in one response.
@@ -24,7 +24,12 @@
 
 impl Directory {
     /// Returns the entries for a caller of a zone, valid for `ttl_max` at most; `None` if no entry is ready.
-    pub fn for_caller(members: &Members, zone: &str, ttl_max: Millis, now: Millis) -> Option<Self> {
+    pub fn for_caller(
+        members: &Membership,
+        zone: &str,
+        ttl_max: Millis,
+        now: Millis,
+    ) -> Option<Self> {
         let addresses = members.addresses(zone, ADDRESSES_MAX, now);
         if addresses.is_empty() {
             return None;
--- /dev/null
+++ b/src/gateway/endpoint_table.rs
@@ -0,0 +1,444 @@
+//! Table of the endpoints that an entry may send requests to, built from their records in the store.
+
+use std::{net::SocketAddr, rc::Rc};
+
+use serde::{Deserialize, Serialize};
+
+use super::{
+    members::EndpointHash,
+    record::{EndpointRecord, Revision, WeightVersion},
+};
+use crate::base::{rendezvous, HashMap, HashSet, Millis, Service};
+
+/// Time that endpoints get, after an outage of the store, to renew records that expired during it.
+pub const RENEWAL: Millis = Millis(2300);
+
+/// Longest time for which an endpoint's record may lag behind its agent's update; a drain and a load take less.
+const RECORD_LAG_MAX: Millis = Millis(5000);
+
+/// Retention of the tombstone of a removed endpoint, which keeps a delayed older record from restoring the endpoint.
+const TOMBSTONE_RETENTION: Millis = Millis(60_000);
+
+/// Time for which gossip repeats that an endpoint is leaving: a few gossip intervals, because datagrams are lost.
+const LEAVING_GOSSIP: Millis = Millis(1500);
+
+/// Id of an endpoint: its key in the store.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct EndpointId(pub Rc<str>);
+
+impl EndpointId {
+    /// Returns the hash of the id that stands for it in datagrams.
+    pub fn hash(&self) -> EndpointHash {
+        EndpointHash(rendezvous(b"endpoint", self.0.as_bytes()) as u32)
+    }
+}
+
+impl std::fmt::Display for EndpointId {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(&self.0)
+    }
+}
+
+impl std::str::FromStr for EndpointId {
+    type Err = std::convert::Infallible;
+
+    fn from_str(s: &str) -> Result<Self, Self::Err> {
+        Ok(Self(s.into()))
+    }
+}
+
+/// An endpoint and its newest record.
+#[derive(Clone, Debug)]
+pub struct Endpoint {
+    /// Id; key of the record in the store.
+    pub id: EndpointId,
+    /// Newest record, corrected by what the endpoint's agent and response headers reported since.
+    pub record: EndpointRecord,
+    /// Time at which a tentative removal of the endpoint takes effect; `None` if its record is present.
+    removal: Option<Millis>,
+    /// Value of the table's change counter when this endpoint last changed.
+    changed: u64,
+    /// Hash of the id and the record, a summand of the table's hash.
+    hash: u64,
+    /// Weights that the agent's update replaced in the record, until the record follows.
+    overridden: Option<Overridden>,
+}
+
+/// Weights that an endpoint's record still lists although its agent has reported others.
+#[derive(Clone, Debug)]
+struct Overridden {
+    models: Vec<(Rc<str>, WeightVersion)>,
+    /// Time from which the record is used again, even if it still lists these weights.
+    until: Millis,
+}
+
+/// State of an endpoint as the agent on its host reports it; it arrives earlier than the endpoint's own record.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EndpointUpdate {
+    /// Address of the endpoint.
+    pub addr: SocketAddr,
+    /// Start of the endpoint in Unix milliseconds.
+    pub born: u64,
+    /// Loaded versions by model; empty while the endpoint drains and loads.
+    pub models: Vec<(Rc<str>, WeightVersion)>,
+}
+
+/// Changes of a table since some value of its change counter, for entries that do not read the store.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct TableDelta {
+    /// Value of the sender's change counter after these changes.
+    pub count: u64,
+    /// Whether `records` holds all endpoints of the sender.
+    pub full: bool,
+    /// Endpoints that were added or changed.
+    pub records: Vec<(EndpointId, EndpointRecord)>,
+    /// Endpoints that were removed.
+    pub removed: Vec<EndpointId>,
+}
+
+/// Tombstone of an endpoint that was removed from the table.
+#[derive(Clone, Copy, Debug)]
+struct Tombstone {
+    revision: Revision,
+    /// End of the tombstone's retention.
+    until: Millis,
+    /// Value of the table's change counter at the removal.
+    changed: u64,
+}
+
+/// An endpoint that announced in a response header that it is leaving.
+#[derive(Clone, Copy, Debug)]
+struct Leaving {
+    /// Start of the endpoint in Unix milliseconds; a run with another start takes requests again.
+    born: u64,
+    /// Time at which this entry first received the announcement.
+    at: Millis,
+}
+
+/// Effect of a record or a report on the table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Change {
+    /// The endpoint is new.
+    Added,
+    /// The endpoint's record changed in more than its revision.
+    Updated,
+    /// The endpoint was removed.
+    Removed,
+    /// The endpoint is leaving, as it announced in a response header.
+    Left,
+    /// The removal is tentative: it takes effect unless the endpoint renews its record.
+    Doubted,
+    /// Nothing but the revision changed.
+    Renewed,
+    /// The record is older than the known one or than the tombstone, or it removes an endpoint that is not in the
+    /// table.
+    Stale,
+}
+
+/// Hash of a table's endpoints without the sequence numbers of their records; tables with the same hash hold the same.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct TableDigest(pub u64);
+
+/// Endpoints by id, with tombstones and a change counter.
+#[derive(Debug, Default)]
+pub struct EndpointTable {
+    endpoints: HashMap<EndpointId, Endpoint>,
+    tombstones: HashMap<EndpointId, Tombstone>,
+    /// Endpoints that announced in a response header that they are leaving; their records may say so only later.
+    announced: HashMap<EndpointId, Leaving>,
+    /// Number of changes so far.
+    changes: u64,
+    /// Wrapping sum of the endpoints' hashes.
+    sum: u64,
+    /// Time until which removals are tentative, because the store has just recovered from an outage.
+    tentative_until: Millis,
+}
+
+impl EndpointTable {
+    /// Applies a record of the store, or its removal if `record` is `None`.
+    pub fn apply(
+        &mut self,
+        id: &EndpointId,
+        record: Option<EndpointRecord>,
+        now: Millis,
+    ) -> Change {
+        match record {
+            Some(record) => self.insert(id, record, now),
+            None => self.remove(id, now),
+        }
+    }
+
+    fn insert(&mut self, id: &EndpointId, mut record: EndpointRecord, now: Millis) -> Change {
+        let born = record.revision.born;
+        record.draining |= self.announced.get(id).is_some_and(|l| l.born == born);
+        if self
+            .tombstones
+            .get(id)
+            .is_some_and(|r| record.revision <= r.revision)
+        {
+            return Change::Stale;
+        }
+        let Some(known) = self.endpoints.get_mut(id) else {
+            self.tombstones.remove(id);
+            self.changes += 1;
+            let mut endpoint = Endpoint {
+                id: id.clone(),
+                record,
+                removal: None,
+                changed: self.changes,
+                hash: 0,
+                overridden: None,
+            };
+            endpoint.rehash(&mut self.sum);
+            self.endpoints.insert(id.clone(), endpoint);
+            return Change::Added;
+        };
+        if record.revision < known.record.revision {
+            return Change::Stale;
+        }
+        known.removal = None;
+        match &known.overridden {
+            Some(old) if old.models == record.models && now < old.until => {
+                record.models.clone_from(&known.record.models);
+            }
+            _ => known.overridden = None,
+        }
+        known.record.revision.sequence = record.revision.sequence;
+        if known.record == record {
+            return Change::Renewed;
+        }
+        let revision = record.revision;
+        let same = EndpointRecord {
+            revision,
+            ..known.record.clone()
+        } == record;
+        known.record = record;
+        known.rehash(&mut self.sum);
+        if same {
+            return Change::Renewed;
+        }
+        self.changes += 1;
+        known.changed = self.changes;
+        Change::Updated
+    }
+
+    fn remove(&mut self, id: &EndpointId, now: Millis) -> Change {
+        let Some(known) = self.endpoints.get_mut(id) else {
+            return Change::Stale;
+        };
+        if now < self.tentative_until {
+            known.removal = Some(self.tentative_until);
+            return Change::Doubted;
+        }
+        self.drop_endpoint(id, now);
+        Change::Removed
+    }
+
+    fn drop_endpoint(&mut self, id: &EndpointId, now: Millis) {
+        if let Some(e) = self.endpoints.remove(id) {
+            self.changes += 1;
+            self.sum = self.sum.wrapping_sub(e.hash);
+            let removed = Tombstone {
+                revision: e.record.revision,
+                until: now + TOMBSTONE_RETENTION,
+                changed: self.changes,
+            };
+            self.tombstones.insert(e.id, removed);
+        }
+    }
+
+    /// Makes removals tentative for [`RENEWAL`], because endpoints could not renew their records during an outage of
+    /// the store that has just ended.
+    pub fn store_recovered(&mut self, now: Millis) {
+        self.tentative_until = now + RENEWAL;
+    }
+
+    /// Removes the endpoints that are not among the ids of all records of the store, and returns the ids of these;
+    /// right after an outage the removals are tentative.
+    pub fn retain_present(
+        &mut self,
+        present: &HashSet<EndpointId>,
+        now: Millis,
+    ) -> Vec<EndpointId> {
+        let missing: Vec<_> = self
+            .endpoints
+            .keys()
+            .filter(|id| !present.contains(*id))
+            .cloned()
+            .collect();
+        for id in &missing {
+            self.remove(id, now);
+        }
+        missing
+    }
+
+    /// Returns the hash of the table.
+    pub fn digest(&self) -> TableDigest {
+        TableDigest(self.sum)
+    }
+
+    /// Returns the changes after the value `since` of the change counter; all endpoints if it is `None` or not of this
+    /// table.
+    pub fn delta_since(&self, since: Option<u64>) -> TableDelta {
+        let since = since.filter(|n| *n <= self.changes);
+        let from = since.unwrap_or(0);
+        let records = self.endpoints.values().filter(|e| e.changed > from);
+        let removed = self.tombstones.iter().filter(|(_, r)| r.changed > from);
+        TableDelta {
+            count: self.changes,
+            full: since.is_none(),
+            records: records.map(|e| (e.id.clone(), e.record.clone())).collect(),
+            removed: removed.map(|(id, _)| id.clone()).collect(),
+        }
+    }
+
+    /// Applies changes received from an entry that reads the store; returns the effect on each endpoint that changed.
+    pub fn apply_delta(&mut self, delta: TableDelta, now: Millis) -> Vec<(EndpointId, Change)> {
+        let mut removed = delta.removed;
+        if delta.full {
+            let present: HashSet<_> = delta.records.iter().map(|(id, _)| id).collect();
+            let known = self.endpoints.keys();
+            removed = known.filter(|id| !present.contains(id)).cloned().collect();
+        }
+        let mut changes = Vec::new();
+        for (id, record) in delta.records {
+            // An endpoint that was missing from the table of an earlier sender has a tombstone here; the same revision
+            // in this delta shows that it still exists.
+            if self
+                .tombstones
+                .get(&id)
+                .is_some_and(|r| record.revision == r.revision)
+            {
+                self.tombstones.remove(&id);
+            }
+            let change = self.insert(&id, record, now);
+            changes.push((id, change));
+        }
+        for id in removed {
+            if self.endpoints.contains_key(&id) {
+                self.drop_endpoint(&id, now);
+                changes.push((id, Change::Removed));
+            }
+        }
+        changes.retain(|c| !matches!(c.1, Change::Renewed | Change::Stale));
+        changes
+    }
+
+    /// Applies an agent's report of its endpoint; returns the endpoint's id if the report changed its weights.
+    pub fn apply_update(&mut self, update: &EndpointUpdate, now: Millis) -> Option<EndpointId> {
+        let matches = |e: &&mut Endpoint| {
+            e.record.addr == update.addr && e.record.revision.born == update.born
+        };
+        let known = self.endpoints.values_mut().find(matches)?;
+        if known.record.models == update.models {
+            return None;
+        }
+        known.overridden = Some(Overridden {
+            models: std::mem::replace(&mut known.record.models, update.models.clone()),
+            until: now + RECORD_LAG_MAX,
+        });
+        known.mark_changed(&mut self.sum, &mut self.changes);
+        Some(known.id.clone())
+    }
+
+    /// Marks an endpoint as draining because it announced that it is leaving; returns whether that changed its record.
+    pub fn mark_leaving(&mut self, id: &EndpointId, now: Millis) -> bool {
+        let Some(known) = self.endpoints.get_mut(id) else {
+            return false;
+        };
+        let born = known.record.revision.born;
+        if self.announced.get(id).is_some_and(|l| l.born == born) {
+            return false;
+        }
+        self.announced.insert(id.clone(), Leaving { born, at: now });
+        if known.record.draining {
+            return false;
+        }
+        known.record.draining = true;
+        known.mark_changed(&mut self.sum, &mut self.changes);
+        true
+    }
+
+    /// Marks endpoints as draining that other entries report as leaving; returns those whose records changed.
+    pub fn merge_leaving(&mut self, leaving: &[EndpointHash], now: Millis) -> Vec<EndpointId> {
+        if leaving.is_empty() {
+            return Vec::new();
+        }
+        let ids: Vec<_> = self.endpoints.keys().cloned().collect();
+        let matches = ids.into_iter().filter(|id| leaving.contains(&id.hash()));
+        matches.filter(|id| self.mark_leaving(id, now)).collect()
+    }
+
+    /// Returns the endpoints that announced within [`LEAVING_GOSSIP`] that they are leaving.
+    pub fn leaving(&self, now: Millis) -> Vec<EndpointHash> {
+        let recent = self
+            .announced
+            .iter()
+            .filter(|(_, l)| now < l.at + LEAVING_GOSSIP);
+        recent.map(|(id, _)| id.hash()).collect()
+    }
+
+    /// Drops expired tombstones, and removes the endpoints whose tentative removal takes effect now; returns these.
+    pub fn expire(&mut self, now: Millis) -> Vec<EndpointId> {
+        self.tombstones.retain(|_, r| r.until > now);
+        let endpoints = &self.endpoints;
+        self.announced
+            .retain(|id, l| endpoints.contains_key(id) || now < l.at + TOMBSTONE_RETENTION);
+        let due: Vec<_> = self
+            .endpoints
+            .values()
+            .filter(|e| e.removal.is_some_and(|at| at <= now))
+            .map(|e| e.id.clone())
+            .collect();
+        for id in &due {
+            self.drop_endpoint(id, now);
+        }
+        due
+    }
+
+    /// Returns the endpoints of a service.
+    pub fn of_service<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Endpoint> {
+        self.endpoints
+            .values()
+            .filter(move |e| e.record.service == *service)
+    }
+
+    /// Returns the endpoint with this id.
+    pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
+        self.endpoints.get(id)
+    }
+
+    /// Returns the endpoints of all services.
+    pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.values()
+    }
+}
+
+impl Endpoint {
+    /// Recomputes the endpoint's hash and adjusts `sum`, the table's sum of hashes.
+    fn rehash(&mut self, sum: &mut u64) {
+        let mut record = self.record.clone();
+        record.revision.sequence = 0;
+        // Encoding types of this program does not fail.
+        let data = postcard::to_stdvec(&(&self.id, record)).unwrap_or_default();
+        let hash = rendezvous(b"record", &data);
+        *sum = sum.wrapping_sub(self.hash).wrapping_add(hash);
+        self.hash = hash;
+    }
+
+    /// Recomputes the endpoint's hash, adjusts `sum`, and marks the endpoint as changed in the table's change counter.
+    fn mark_changed(&mut self, sum: &mut u64, changes: &mut u64) {
+        self.rehash(sum);
+        *changes += 1;
+        self.changed = *changes;
+    }
+
+    /// Returns the version of a model that the endpoint has loaded according to its record.
+    pub fn weights(&self, model: &str) -> Option<WeightVersion> {
+        self.record
+            .models
+            .iter()
+            .find(|(name, _)| &**name == model)
+            .map(|(_, v)| *v)
+    }
+}
--- a/src/gateway/evaluate.rs
+++ b/src/gateway/evaluate.rs
@@ -13,12 +13,12 @@
 use super::{
     accept::Job,
     context::Context,
-    fleet::{Change, EndpointId},
+    endpoint_table::{Change, EndpointId},
     followers::endpoint_changed,
     forward::{Attempt, Attempts, StreamingResponse, Target},
     headers::text,
+    load_view::{Outcome, ReportedLoad},
     log_event,
-    view::{Load, Outcome},
 };
 use crate::{base::Millis, emit, http::Connection};
 
@@ -51,14 +51,15 @@
 fn apply_status_headers(ctx: &Rc<Context>, id: &EndpointId, head: &Parts) {
     let names = &ctx.headers;
     let now = ctx.now();
-    if head.headers.contains_key(&names.leaving) && ctx.fleet.borrow_mut().leave(id, now) {
+    if head.headers.contains_key(&names.leaving) && ctx.endpoints.borrow_mut().mark_leaving(id, now)
+    {
         endpoint_changed(ctx, id, Change::Left);
-        ctx.tell();
+        ctx.notify_changed();
     }
     let seconds = text(&head.headers, RETRY_AFTER).and_then(|v| v.trim().parse::<f64>().ok());
     if let Some(seconds) = seconds.filter(|_| head.status == StatusCode::SERVICE_UNAVAILABLE) {
         let wait = Millis((seconds.clamp(0.0, PAUSE_MAX_S) * 1000.0) as u64);
-        ctx.balance.borrow_mut().hold(id, now + wait);
+        ctx.balancer.borrow_mut().pause(id, now + wait);
         emit!(
             log_event::ENDPOINT,
             "endpoint={id} change=Held ms={}",
@@ -93,9 +94,9 @@
     }
     apply_status_headers(ctx, &target.id, &head);
     let load_text = text(&head.headers, &names.load);
-    let load = load_text.and_then(|v| v.parse::<Load>().ok());
+    let load = load_text.and_then(|v| v.parse::<ReportedLoad>().ok());
     let version = text(&head.headers, &names.versions).and_then(|v| v.trim().parse().ok());
-    ctx.balance
+    ctx.balancer
         .borrow_mut()
         .report(&target.id, load, version, ctx.now());
     if refused {
--- a/src/gateway/followers.rs
+++ b/src/gateway/followers.rs
@@ -7,10 +7,10 @@
 use super::{
     catalog::Catalog,
     context::Context,
-    fleet::{Change, EndpointId},
+    endpoint_table::{Change, EndpointId},
     follow::Follower,
     log_event,
-    members::Beat,
+    members::Heartbeat,
     operator_records::{Decode, OperatorSink},
     record::{Record, WeightVersion},
 };
@@ -49,7 +49,7 @@
     }
 
     fn weights(&self, model: Rc<str>, version: WeightVersion, found: bool) {
-        let newer = self.name_version(model.clone(), version, found);
+        let newer = self.record_desired(model.clone(), version, found);
         emit!(
             log_event::VERSION,
             "model={model} version={version} newer={newer} found={found}"
@@ -65,7 +65,7 @@
     }
 
     async fn read_interrupted(&self) {
-        self.news.notified().await;
+        self.operator_wake.notified().await;
     }
 }
 
@@ -84,7 +84,7 @@
             }
         };
         let now = self.0.now();
-        let change = self.0.fleet.borrow_mut().apply(&id, decoded, now);
+        let change = self.0.endpoints.borrow_mut().apply(&id, decoded, now);
         endpoint_changed(&self.0, &id, change);
         Some(id)
     }
@@ -96,13 +96,13 @@
         return;
     }
     if matches!(change, Change::Added | Change::Removed) {
-        ctx.reset_turns();
+        ctx.clear_schedules();
     }
     if change == Change::Updated {
-        ctx.balance.borrow_mut().recover(id);
+        ctx.balancer.borrow_mut().clear_backoff(id);
     }
-    ctx.fleet_changed.set(true);
-    let fleet = ctx.fleet.borrow();
+    ctx.table_changed.set(true);
+    let fleet = ctx.endpoints.borrow();
     let record = fleet.get(id).map(|e| &e.record);
     let text = record.map_or_else(String::new, |r| {
         let versions: Vec<_> = r.models.iter().map(|m| m.1.to_string()).collect();
@@ -124,8 +124,8 @@
     }
 
     fn batch_applied(&self) {
-        if self.0.fleet_changed.get() {
-            self.0.tell();
+        if self.0.table_changed.get() {
+            self.0.notify_changed();
         }
     }
 
@@ -134,9 +134,13 @@
             .iter()
             .filter_map(|r| self.apply_record(r))
             .collect();
-        let missing = self.0.fleet.borrow_mut().retain(&present, self.0.now());
+        let missing = self
+            .0
+            .endpoints
+            .borrow_mut()
+            .retain_present(&present, self.0.now());
         for id in missing {
-            let gone = self.0.fleet.borrow().get(&id).is_none();
+            let gone = self.0.endpoints.borrow().get(&id).is_none();
             let change = if gone {
                 Change::Removed
             } else {
@@ -144,12 +148,12 @@
             };
             endpoint_changed(&self.0, &id, change);
         }
-        self.0.fleet_known.set(true);
-        self.0.fleet_changed.set(true);
+        self.0.table_loaded.set(true);
+        self.0.table_changed.set(true);
     }
 
     fn pause(&self) -> Millis {
-        if self.0.awaits_weights() {
+        if self.0.is_load_pending() {
             ENDPOINTS_PAUSE_LOADING
         } else {
             ENDPOINTS_PAUSE
@@ -157,16 +161,16 @@
     }
 
     fn read_succeeded(&self) {
-        self.0.read_due.set(self.0.now() + self.pause());
+        self.0.next_read.set(self.0.now() + self.pause());
     }
 
     fn should_read(&self) -> bool {
-        self.0.reads_store()
+        self.0.is_zone_reader()
     }
 
     fn store_recovered(&self) {
-        self.0.fleet.borrow_mut().regained(self.0.now());
-        self.0.news.notify_waiters();
+        self.0.endpoints.borrow_mut().store_recovered(self.0.now());
+        self.0.operator_wake.notify_waiters();
     }
 }
 
@@ -182,7 +186,7 @@
         let Some(value) = &record.value else {
             return;
         };
-        match postcard::from_bytes::<Beat>(value) {
+        match postcard::from_bytes::<Heartbeat>(value) {
             Ok(beat) => self.ctx.members.borrow_mut().announce(beat, self.ctx.now()),
             Err(e) => emit!(log_event::RECORD, "topic=entries reason=\"{e}\""),
         }
@@ -201,7 +205,7 @@
     }
 
     fn should_read(&self) -> bool {
-        !self.read.get() || self.ctx.reads_store()
+        !self.read.get() || self.ctx.is_zone_reader()
     }
 
     fn pause(&self) -> Millis {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -8,17 +8,17 @@
 
 use super::{
     accept::Job,
-    balance::Refusal,
     catalog::Repeat,
     choose::choose,
     context::{Context, InFlight},
+    endpoint_table::EndpointId,
     evaluate::evaluate,
     events::EventId,
-    fleet::EndpointId,
+    load_balancer::Refusal,
+    load_view::Outcome,
     log_event,
     record::WeightVersion,
     reply::Reject,
-    view::Outcome,
 };
 use crate::{base::Millis, emit, http::Connection};
 
@@ -154,10 +154,10 @@
     if begin_by.is_some_and(|at| at <= now) {
         return Some("a newer version of the weights is enforced");
     }
-    if ctx.balance.borrow().is_held(id, now) {
+    if ctx.balancer.borrow().is_paused(id, now) {
         return Some("the endpoint is paused");
     }
-    match ctx.fleet.borrow().get(id) {
+    match ctx.endpoints.borrow().get(id) {
         None => Some("the endpoint was removed"),
         Some(e) if e.record.draining => Some("the endpoint is draining"),
         Some(_) => None,
--- /dev/null
+++ b/src/gateway/gossip.rs
@@ -0,0 +1,245 @@
+//! Gossip between entries, and replication of the catalog and the endpoint table from one entry to another.
+
+use std::{net::SocketAddr, rc::Rc};
+
+use bytes::Bytes;
+use tokio::net::UdpSocket;
+
+use super::{
+    compression::decompress,
+    context::Context,
+    endpoint_table::{Change, EndpointUpdate, TableDelta, TableDigest},
+    followers::{apply_catalog, endpoint_changed},
+    log_event,
+    members::{EndpointHash, Gossip, Message, HEARTBEAT_INTERVAL},
+    operator_records::Decode,
+    serve,
+};
+use crate::{base::Millis, emit, http::get};
+
+/// Largest datagram, in bytes.
+const DATAGRAM_MAX: usize = 8 << 10;
+
+/// Timeout of a query to another entry; a large catalog takes a while to arrive where many entries query it.
+const QUERY_TIMEOUT: Millis = Millis(1000);
+
+/// Shortest interval of the datagrams to other entries.
+const INTERVAL_MIN: Millis = Millis(60);
+
+/// Receives the datagrams of other entries and of agents, and merges their content.
+pub(super) async fn receive(ctx: Rc<Context>, socket: Rc<UdpSocket>) {
+    let mut data = vec![0; DATAGRAM_MAX];
+    loop {
+        let len = match socket.recv_from(&mut data).await {
+            Ok((len, _)) => len,
+            Err(e) => {
+                log::debug!("cannot receive a datagram: {e}");
+                continue;
+            }
+        };
+        let datagram = match postcard::from_bytes::<Message>(&data[..len]) {
+            Ok(Message::Gossip(datagram)) => datagram,
+            Ok(Message::Endpoint(update)) => {
+                apply_update(&ctx, &update);
+                continue;
+            }
+            Err(e) => {
+                emit!(log_event::RECORD, "topic=beats reason=\"{e}\"");
+                continue;
+            }
+        };
+        let now = ctx.now();
+        ctx.merge_desired(datagram.desired);
+        if let Some(sender) = datagram.heartbeats.first() {
+            let mut balance = ctx.balancer.borrow_mut();
+            balance.merge_peer_load(sender.peer, &datagram.in_flight, now);
+        }
+        merge_leaving(&ctx, &datagram.leaving);
+        let mut members = ctx.members.borrow_mut();
+        for heartbeat in datagram.heartbeats {
+            let (peer, status) = (heartbeat.peer, heartbeat.status);
+            if members.merge(heartbeat, now) {
+                emit!(log_event::MEMBER, "entry={peer} ready={}", status.ready);
+            }
+            if ctx.is_ahead(&status) {
+                ctx.peer_ahead.notify_waiters();
+            }
+        }
+    }
+}
+
+pub(super) async fn send_gossip(ctx: &Context, socket: &UdpSocket, targets: &[SocketAddr]) {
+    let heartbeats = ctx
+        .members
+        .borrow_mut()
+        .next_heartbeats(ctx.status(), ctx.now());
+    let datagram = Gossip {
+        heartbeats,
+        desired: ctx.desired_ages(),
+        in_flight: ctx.balancer.borrow().in_flight(),
+        leaving: ctx.endpoints.borrow().leaving(ctx.now()),
+    };
+    let data = match postcard::to_stdvec(&Message::Gossip(datagram)) {
+        Ok(data) => data,
+        Err(e) => {
+            log::warn!("cannot encode a heartbeat datagram: {e}");
+            return;
+        }
+    };
+    for target in targets {
+        if let Err(e) = socket.send_to(&data, target).await {
+            log::debug!("cannot send a heartbeat to {target}: {e}");
+        }
+    }
+}
+
+pub(super) async fn send_periodically(ctx: Rc<Context>, socket: Rc<UdpSocket>) {
+    send_gossip(&ctx, &socket, &ctx.settings.seeds).await;
+    loop {
+        tokio::time::sleep(INTERVAL_MIN.duration()).await;
+        let remaining = (HEARTBEAT_INTERVAL - INTERVAL_MIN).duration();
+        if ctx.is_reading() {
+            // A zone reader sends early after a change, because the others of its zone depend on what it reads.
+            let _ = tokio::time::timeout(remaining, ctx.gossip_soon.notified()).await;
+        } else {
+            tokio::time::sleep(remaining).await;
+        }
+        let (targets, all) = {
+            let members = ctx.members.borrow();
+            (members.gossip_targets(ctx.now()), members.sends_to_all())
+        };
+        ctx.balancer.borrow_mut().set_peers_complete(all);
+        send_gossip(&ctx, &socket, &targets).await;
+    }
+}
+
+/// Fetches the catalog from an entry that has a newer one, for example while the store rejects the reads of this host.
+pub(super) async fn follow_peers<D: Decode>(ctx: Rc<Context>) {
+    loop {
+        wait_for_change(&ctx).await;
+        let newer = {
+            let members = ctx.members.borrow();
+            members.newer_catalog(ctx.catalog_version(), ctx.now())
+        };
+        let Some(peer) = newer else {
+            continue;
+        };
+        let Some(data) = query(&ctx, peer, serve::CATALOG_PATH).await else {
+            continue;
+        };
+        let raw = match decompress(&data) {
+            Ok(raw) => raw,
+            Err(e) => {
+                emit!(log_event::RECORD, "source={peer} reason=\"{e}\"");
+                continue;
+            }
+        };
+        match D::catalog(&raw) {
+            Ok(catalog) => apply_catalog(&ctx, catalog, raw, &peer.to_string()),
+            Err(e) => emit!(log_event::RECORD, "source={peer} reason=\"{e}\""),
+        }
+    }
+}
+
+/// Waits until the status of another entry shows that this one lacks something, or for a gossip interval.
+async fn wait_for_change(ctx: &Context) {
+    let _ = tokio::time::timeout(HEARTBEAT_INTERVAL.duration(), ctx.peer_ahead.notified()).await;
+}
+
+/// Queries another entry; `None` if it does not respond or has no data for the path.
+async fn query(ctx: &Context, peer: SocketAddr, path: &str) -> Option<Bytes> {
+    match get(&ctx.pool, peer, path, ctx.now(), QUERY_TIMEOUT).await {
+        Ok(res) if res.status() == hyper::StatusCode::OK => Some(res.into_body()),
+        Ok(res) => {
+            log::debug!("{peer} has no {path}: HTTP status {}", res.status());
+            None
+        }
+        Err(e) => {
+            log::debug!("query of {peer} for {path} failed: {e}");
+            None
+        }
+    }
+}
+
+/// Progress of the replication of another entry's endpoint table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Replication {
+    peer: SocketAddr,
+    /// Start of that entry's process in Unix milliseconds.
+    boot: u64,
+    /// Hash of its table that led to the last query.
+    digest: TableDigest,
+    /// Value of its change counter up to which its changes are applied here.
+    count: u64,
+}
+
+/// Replicates the endpoint table of an entry that reads the store, while this one does not read it.
+pub(super) async fn mirror_table(ctx: Rc<Context>) {
+    let mut replication: Option<Replication> = None;
+    loop {
+        wait_for_change(&ctx).await;
+        if ctx.is_reading() {
+            replication = None;
+            continue;
+        }
+        let reader = ctx.members.borrow().zone_reader(ctx.now()).cloned();
+        let Some(reader) = reader else {
+            continue;
+        };
+        let (peer, boot, digest) = (reader.peer, reader.boot, reader.status.table);
+        let before = replication.filter(|m| m.peer == peer && m.boot == boot);
+        if before.is_some_and(|m| m.digest == digest) {
+            continue;
+        }
+        let count = before.map_or_else(|| "-".to_owned(), |m| m.count.to_string());
+        let path = format!("{}{boot}/{count}", serve::TABLE_PATH);
+        let data = query(&ctx, peer, &path).await;
+        let delta = data.and_then(|data| postcard::from_bytes::<TableDelta>(&data).ok());
+        let Some(delta) = delta else {
+            emit!(log_event::MEMBER, "entry={peer} outcome=no-table");
+            ctx.members.borrow_mut().back_off(peer, ctx.now());
+            continue;
+        };
+        if before.is_none() {
+            let (whole, records) = (delta.full, delta.records.len());
+            emit!(
+                log_event::READER,
+                "source={peer} whole={whole} records={records}"
+            );
+        }
+        replication = Some(Replication {
+            peer,
+            boot,
+            digest,
+            count: delta.count,
+        });
+        let changes = ctx.endpoints.borrow_mut().apply_delta(delta, ctx.now());
+        for (id, change) in &changes {
+            endpoint_changed(&ctx, id, *change);
+        }
+        ctx.table_loaded.set(true);
+        if !changes.is_empty() {
+            ctx.notify_changed();
+        }
+    }
+}
+
+/// Marks endpoints as leaving that another entry reports so.
+fn merge_leaving(ctx: &Context, leaving: &[EndpointHash]) {
+    let left = ctx.endpoints.borrow_mut().merge_leaving(leaving, ctx.now());
+    for id in &left {
+        endpoint_changed(ctx, id, Change::Left);
+    }
+    if !left.is_empty() {
+        ctx.notify_changed();
+    }
+}
+
+/// Applies an agent's report of its endpoint.
+fn apply_update(ctx: &Context, update: &EndpointUpdate) {
+    let changed = ctx.endpoints.borrow_mut().apply_update(update, ctx.now());
+    if let Some(id) = changed {
+        endpoint_changed(ctx, &id, Change::Updated);
+        ctx.notify_changed();
+    }
+}
--- /dev/null
+++ b/src/gateway/load_balancer.rs
@@ -0,0 +1,434 @@
+//! Chooses the endpoint of each request, or rejects the request, from the load of the endpoints as one entry knows it.
+//!
+//! | load pattern | what happens |
+//! |---|---|
+//! | steady | the cheapest of the owned endpoints and of a few others is chosen; nearer ones cost less |
+//! | bursts of long prompts | unread prompt tokens add to the cost of an endpoint |
+//! | more than the endpoints can serve in time | rejected beyond the slots, with a short, jittered `Retry-After` |
+//! | a new version becomes desired | an endpoint gets only requests that end by its scheduled load start |
+//! | copies of a new version are late | schedule ignored while more hosts missed it than kept it |
+//! | callers retry after a rejection | may wait in an endpoint's queue beyond its slots, and may delay a load for longer |
+//! | an endpoint rejects requests | skipped for a short backoff that doubles |
+//! | an endpoint sends `Retry-After` | paused until then, whatever else is reported of it |
+//! | an endpoint fails part of its requests | its cost grows, so that it is used only when the others are loaded |
+//! | an endpoint is lost | its circuit breaker available_at |
+
+use std::net::SocketAddr;
+
+use super::{
+    desired::DesiredVersions,
+    endpoint_table::{Endpoint, EndpointId},
+    load_view::{LoadView, Outcome, ReportedLoad},
+    members::EndpointHash,
+    record::WeightVersion,
+    schedule::LoadSchedule,
+};
+use crate::base::{HashMap, HashSet, Millis, Zone};
+
+/// Number of endpoints, drawn at random from those that this entry does not own, that compete with the owned ones. The
+/// draw keeps entries with the same view from all choosing the same endpoint.
+const CHOICES: usize = 4;
+
+/// Cost of an endpoint that this entry does not own, as a share of the endpoint's slots.
+const NOT_OWNED_COST: f64 = 0.25;
+
+/// Longest time by which a request may run past the scheduled load start of its endpoint. Requests of retrying callers
+/// get the longer [`OVERRUN_RETRYING`], because such a caller cannot retry once more.
+const OVERRUN_MAX: Millis = Millis(250);
+const OVERRUN_RETRYING: Millis = Millis(1000);
+
+/// Divisor of an engine's slots that gives the number of retrying callers whose requests may wait beyond the slots.
+const RETRYING_DIVISOR: u32 = 4;
+
+/// Cost of an endpoint whose load of a newer version the request would delay by [`OVERRUN_MAX`], as a share of its
+/// slots; in proportion for other delays.
+const OVERRUN_COST: f64 = 0.5;
+
+/// Time from the scheduled load start for which an endpoint is assumed to drain or to load. An endpoint that still runs
+/// the older version after it probably lacks a complete copy of the newer one.
+const LOAD_TIME: Millis = Millis(800);
+
+/// Cost, as a share of its slots, of an endpoint whose host missed its scheduled load start: it may begin to load at
+/// any moment.
+const OVERDUE_COST: f64 = 1.5;
+
+/// Divisor of an engine's slots that gives the slots kept free for requests that must not wait at the endpoint.
+const FREE_DIVISOR: u32 = 5;
+
+/// Requests that may wait at an endpoint without an engine, for each of its slots.
+const PLAIN_QUEUE_PER_SLOT: u32 = 2;
+
+/// Mean `Retry-After` when all endpoints are loaded: a retry after it still meets its latency objective if it finds a
+/// free slot.
+const RETRY_AFTER: Millis = Millis(250);
+
+/// Mean `Retry-After` while no endpoint can run the request but at least one is loading weights: about the duration of
+/// a load.
+const RETRY_AFTER_LOADING: Millis = Millis(1000);
+
+/// Mean `Retry-After` while no endpoint can run the request and none is loading weights: copying weights takes seconds,
+/// and callers wait no longer than a third of their deadline.
+const RETRY_AFTER_UNAVAILABLE: Millis = Millis(1800);
+
+/// Loads of a newer version that the hosts of a service have still to begin.
+#[derive(Clone, Copy, Debug)]
+pub struct PendingLoads<'a> {
+    /// Scheduled load start of each host.
+    pub schedule: &'a LoadSchedule,
+    /// Versions that became desired, with their times.
+    pub desired: &'a DesiredVersions,
+    /// Time after which a desired version is enforced: requests may then no longer begin on older ones.
+    pub bound: Millis,
+}
+
+/// Weights that an endpoint must have loaded to run a request.
+#[derive(Clone, Copy, Debug)]
+pub struct WeightRequirement<'a> {
+    /// Model name.
+    pub model: &'a str,
+    /// Pending loads of a newer version; `None` if no version is desired.
+    pub pending: Option<PendingLoads<'a>>,
+    /// Oldest version on which the request may begin if a slot is free at once.
+    pub oldest: WeightVersion,
+    /// Oldest version on which the request may begin after waiting in the endpoint's queue.
+    pub oldest_queued: WeightVersion,
+}
+
+/// Properties of a request, and of the entry that forwards it, by which its endpoint is chosen.
+#[derive(Clone, Debug)]
+pub struct EndpointQuery<'a> {
+    /// Availability zone of the entry.
+    pub zone: &'a Zone,
+    /// Required weights; `None` for services without engines.
+    pub weights: Option<WeightRequirement<'a>>,
+    /// The one version on which a broken stream may be continued; `None` if the request has not streamed anything.
+    pub exact: Option<WeightVersion>,
+    /// Endpoints to which this request was sent before.
+    pub tried: &'a [EndpointId],
+    /// Endpoints that this entry owns; see [`owned_endpoints`](super::owned_endpoints()).
+    pub owned: &'a HashSet<EndpointId>,
+    /// Prompt tokens that an endpoint reads in a millisecond; `None` for services without engines.
+    pub read_rate: Option<f64>,
+    /// Whether the caller retries after a rejection.
+    pub retrying: bool,
+    /// Estimated time for which the request occupies a slot.
+    pub duration: Millis,
+}
+
+/// Why no endpoint gets a request; holds the time after which the caller should retry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Refusal {
+    /// No endpoint of the service can run the request.
+    Unavailable(Millis),
+    /// Every endpoint that could run the request is loaded, about to load weights, or skipped after failures.
+    Overloaded(Millis),
+}
+
+/// Load views of all endpoints that this entry has sent requests to or considered.
+#[derive(Debug, Default)]
+pub struct LoadBalancer {
+    views: HashMap<EndpointId, LoadView>,
+    /// Whether every other entry sends its requests in flight to this one, so that the load that endpoints report adds
+    /// nothing.
+    peers_complete: bool,
+}
+
+/// Endpoints that may get a request, each with its cost.
+#[derive(Debug)]
+struct Candidates<'e> {
+    /// Endpoints that this entry owns.
+    owned: Vec<(&'e Endpoint, f64)>,
+    others: Vec<(&'e Endpoint, f64)>,
+    /// Whether any endpoint can run the request, now or later.
+    any_capable: bool,
+    /// Earliest time at which a capable endpoint is no longer skipped; [`Millis::MAX`] if there is none.
+    available_at: Millis,
+}
+
+impl Default for Candidates<'_> {
+    fn default() -> Self {
+        Self {
+            owned: Vec::new(),
+            others: Vec::new(),
+            any_capable: false,
+            available_at: Millis::MAX,
+        }
+    }
+}
+
+impl<'e> Candidates<'e> {
+    /// Returns the cheapest of the owned endpoints and of up to [`CHOICES`] random others.
+    fn best(mut self) -> Option<&'e Endpoint> {
+        let others = (0..CHOICES.min(self.others.len())).map(|i| {
+            let j = fastrand::usize(i..self.others.len());
+            self.others.swap(i, j);
+            self.others[i]
+        });
+        let all = self.owned.into_iter().chain(others);
+        all.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(e, _)| e)
+    }
+}
+
+/// Returns the cost of delaying an endpoint's load of a newer version, as a share of its slots: the endpoint drains
+/// before it loads, and its other slots stay empty while the request runs. `None` if the request would delay the load
+/// too much.
+fn drain_cost(start: Option<Millis>, query: &EndpointQuery<'_>, now: Millis) -> Option<f64> {
+    let Some(start) = start else {
+        return Some(0.0);
+    };
+    if now >= start + LOAD_TIME {
+        return Some(OVERDUE_COST);
+    }
+    let delay = now + query.duration - start;
+    let delay_max = if query.retrying {
+        OVERRUN_RETRYING
+    } else {
+        OVERRUN_MAX
+    };
+    if delay > delay_max {
+        return None;
+    }
+    Some(delay.0 as f64 / OVERRUN_MAX.0 as f64 * OVERRUN_COST)
+}
+
+/// Returns the jittered `Retry-After` for a request that no endpoint can run.
+fn unavailable_retry_after(endpoints: &[&Endpoint]) -> Millis {
+    let loading = |e: &&Endpoint| !e.record.draining && e.record.models.is_empty();
+    let mean = if endpoints.iter().any(loading) {
+        RETRY_AFTER_LOADING
+    } else {
+        RETRY_AFTER_UNAVAILABLE
+    };
+    crate::base::jitter(mean)
+}
+
+impl LoadBalancer {
+    /// Chooses the endpoint of a request among those of its service.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the request is rejected and the time after which the caller should retry.
+    pub fn pick<'e>(
+        &mut self,
+        endpoints: impl Iterator<Item = &'e Endpoint>,
+        query: &EndpointQuery<'_>,
+        now: Millis,
+    ) -> Result<&'e Endpoint, Refusal> {
+        let endpoints: Vec<_> = endpoints.collect();
+        let found = self.candidates(&endpoints, query, now);
+        if !found.any_capable {
+            return Err(Refusal::Unavailable(unavailable_retry_after(&endpoints)));
+        }
+        let available_at = found.available_at;
+        found.best().ok_or_else(|| {
+            let wait = crate::base::jitter(RETRY_AFTER);
+            Refusal::Overloaded(wait.max(available_at - now))
+        })
+    }
+
+    /// Collects the endpoints that may get a request now, with their costs.
+    fn candidates<'e>(
+        &mut self,
+        endpoints: &[&'e Endpoint],
+        query: &EndpointQuery<'_>,
+        now: Millis,
+    ) -> Candidates<'e> {
+        let mut found = Candidates::default();
+        let starts: Vec<_> = endpoints
+            .iter()
+            .map(|e| self.scheduled_start(e, query))
+            .collect();
+        let stalled = self.is_stalled(endpoints, &starts, query, now);
+        for (&e, start) in endpoints.iter().zip(starts) {
+            if !self.is_capable(e, query) {
+                continue;
+            }
+            found.any_capable = true;
+            let limit = self.limit(e, query);
+            let start = start.filter(|_| !stalled);
+            let Some(drain) = drain_cost(start, query, now) else {
+                found.available_at = now;
+                continue;
+            };
+            let view = self.views.entry(e.id.clone()).or_default();
+            let skipped_until = view.backoff.0.max(view.paused_until);
+            found.available_at = found.available_at.min(skipped_until);
+            if skipped_until > now || !view.breaker.allows(now) {
+                continue;
+            }
+            let load = view.load(now, self.peers_complete);
+            if load >= limit {
+                continue;
+            }
+            let cost = drain + view.cost(e, query, load);
+            if query.owned.contains(&e.id) {
+                found.owned.push((e, cost));
+            } else {
+                found.others.push((e, cost + NOT_OWNED_COST));
+            }
+        }
+        found
+    }
+
+    /// Returns whether an endpoint asked by `Retry-After` to get no requests at this time.
+    pub fn is_paused(&self, id: &EndpointId, now: Millis) -> bool {
+        self.views.get(id).is_some_and(|v| v.paused_until > now)
+    }
+
+    /// Keeps requests from an endpoint until a time; a pause is never shortened.
+    pub fn pause(&mut self, id: &EndpointId, until: Millis) {
+        if let Some(view) = self.views.get_mut(id) {
+            view.paused_until = view.paused_until.max(until);
+        }
+    }
+
+    fn is_capable(&self, e: &Endpoint, query: &EndpointQuery<'_>) -> bool {
+        if e.record.draining || query.tried.contains(&e.id) {
+            return false;
+        }
+        let Some(required) = query.weights else {
+            return true;
+        };
+        let Some(version) = self.version(e, required.model) else {
+            return false;
+        };
+        version >= required.oldest && query.exact.is_none_or(|v| v == version)
+    }
+
+    /// Returns the version that an endpoint has loaded: the newer one of its record and of its latest response.
+    pub fn version(&self, e: &Endpoint, model: &str) -> Option<WeightVersion> {
+        let loaded = e.weights(model)?;
+        let seen = self.views.get(&e.id).map(|v| v.version);
+        Some(loaded.max(seen.unwrap_or_default()))
+    }
+
+    /// Returns the scheduled load start of an endpoint that runs an older version than the newest desired one.
+    fn scheduled_start(&self, e: &Endpoint, query: &EndpointQuery<'_>) -> Option<Millis> {
+        let required = query.weights?;
+        let loads = required.pending?;
+        let loaded = self.version(e, required.model)?;
+        loads
+            .schedule
+            .load_start(e, loaded, loads.desired, loads.bound)
+    }
+
+    /// Returns whether more hosts missed their scheduled load start than have loaded the newest version or are loading
+    /// it. Their copies are late then, so that no endpoint is likely to load soon.
+    fn is_stalled(
+        &self,
+        endpoints: &[&Endpoint],
+        starts: &[Option<Millis>],
+        query: &EndpointQuery<'_>,
+        now: Millis,
+    ) -> bool {
+        let Some(required) = query.weights else {
+            return false;
+        };
+        let Some(newest) = required.pending.and_then(|l| l.desired.newest()) else {
+            return false;
+        };
+        let (mut missed, mut kept) = (0, 0);
+        for (e, start) in endpoints.iter().zip(starts) {
+            match start {
+                Some(start) => missed += usize::from(now >= *start + LOAD_TIME),
+                // The endpoint is loading or has loaded.
+                None => {
+                    let version = self.version(e, required.model);
+                    kept += usize::from(version.is_none_or(|v| v >= newest));
+                }
+            }
+        }
+        missed > kept
+    }
+
+    /// Returns the load from which an endpoint gets no further requests.
+    fn limit(&self, e: &Endpoint, query: &EndpointQuery<'_>) -> u32 {
+        let slots = e.record.slots.max(1);
+        let Some(required) = query.weights else {
+            return slots + slots * PLAIN_QUEUE_PER_SLOT;
+        };
+        let waits = self.version(e, required.model) >= Some(required.oldest_queued);
+        if waits && query.retrying {
+            slots + slots / RETRYING_DIVISOR
+        } else if waits {
+            slots
+        } else {
+            slots - slots / FREE_DIVISOR
+        }
+    }
+
+    /// Counts a request that is sent to an endpoint; `prompt` is its length in tokens.
+    pub fn begin(&mut self, id: &EndpointId, prompt: u32, now: Millis) {
+        let view = self.views.entry(id.clone()).or_default();
+        view.begin(prompt, now);
+    }
+
+    /// Removes the prompt of a request, in tokens, from those that the endpoint has yet to read.
+    pub fn prompt_read(&mut self, id: &EndpointId, prompt: u32) {
+        if let Some(view) = self.views.get_mut(id) {
+            view.prompt_read(prompt);
+        }
+    }
+
+    /// Records the load and the version that a response reports.
+    pub fn report(
+        &mut self,
+        id: &EndpointId,
+        load: Option<ReportedLoad>,
+        version: Option<WeightVersion>,
+        now: Millis,
+    ) {
+        let Some(view) = self.views.get_mut(id) else {
+            return;
+        };
+        view.report(load, version, now);
+    }
+
+    /// Replaces the requests in flight that another entry reported; it has none at endpoints that `loads` leaves out.
+    pub fn merge_peer_load(
+        &mut self,
+        from: SocketAddr,
+        loads: &[(EndpointHash, u16)],
+        now: Millis,
+    ) {
+        for (id, view) in &mut self.views {
+            view.peer_load.retain(|t| t.0 != from);
+            let hash = id.hash();
+            if let Some((_, count)) = loads.iter().find(|l| l.0 == hash) {
+                view.peer_load.push((from, *count, now));
+            }
+        }
+    }
+
+    /// Sets whether every other entry reports its requests in flight to this one.
+    pub fn set_peers_complete(&mut self, all: bool) {
+        self.peers_complete = all;
+    }
+
+    /// Returns the requests of this entry in flight at each endpoint that has any.
+    pub fn in_flight(&self) -> Vec<(EndpointHash, u16)> {
+        let used = self.views.iter().filter(|(_, v)| v.in_flight > 0);
+        used.map(|(id, v)| (id.hash(), v.in_flight as u16))
+            .collect()
+    }
+
+    /// Counts the end of a request and records its outcome.
+    pub fn end(&mut self, id: &EndpointId, outcome: Outcome, now: Millis) {
+        let Some(view) = self.views.get_mut(id) else {
+            return;
+        };
+        view.end(outcome, now);
+    }
+
+    /// Ends the backoff of an endpoint that reports that it takes requests again.
+    pub fn clear_backoff(&mut self, id: &EndpointId) {
+        if let Some(view) = self.views.get_mut(id) {
+            view.backoff = Default::default();
+        }
+    }
+
+    /// Removes endpoints that left the table, except those with requests of this entry in flight.
+    pub fn retain(&mut self, keep: impl Fn(&EndpointId) -> bool) {
+        self.views.retain(|id, v| v.in_flight > 0 || keep(id));
+    }
+}
--- /dev/null
+++ b/src/gateway/load_view.rs
@@ -0,0 +1,185 @@
+//! Load of one endpoint as an entry knows it, and the cost of sending it a request.
+
+use std::net::SocketAddr;
+
+use super::{endpoint_table::Endpoint, load_balancer::EndpointQuery, record::WeightVersion};
+use crate::{base::Millis, decide::route::Breaker};
+
+/// Time in milliseconds that an endpoint needs to read its unread prompts at which these cost as much as a full set of
+/// slots.
+const READ_MS_PER_SLOTS: f64 = 250.0;
+
+/// Cost of an endpoint in another availability zone, as a share of its slots.
+const ZONE_COST: f64 = 0.12;
+
+/// Cost of an endpoint whose recent requests all failed, as a share of its slots.
+const FAILURE_COST: f64 = 3.0;
+
+/// Weight of the newest outcome in the moving average of failures.
+const FAILURE_WEIGHT: f64 = 0.15;
+
+/// Backoff after an endpoint rejected a request; it doubles with each further rejection up to [`BACKOFF_MAX`].
+const BACKOFF: Millis = Millis(120);
+const BACKOFF_MAX: Millis = Millis(480);
+
+/// Age at which the load that an endpoint reported is no longer used.
+const REPORT_LIFETIME: Millis = Millis(2000);
+
+/// Age at which the requests in flight that another entry reported are no longer counted.
+const PEER_LOAD_LIFETIME: Millis = Millis(1200);
+
+/// Load that an endpoint reports in a response header.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReportedLoad {
+    /// Requests that the endpoint is running.
+    pub running: u32,
+    /// Requests that wait in the endpoint's queue.
+    pub waiting: u32,
+    /// Requests that the endpoint can run at once.
+    pub slots: u32,
+}
+
+impl std::str::FromStr for ReportedLoad {
+    type Err = std::num::ParseIntError;
+
+    /// Parses `running,waiting,slots`; a missing part counts as 0.
+    fn from_str(s: &str) -> Result<Self, Self::Err> {
+        let mut parts = s.split(',').map(|p| p.trim().parse());
+        let mut next = || parts.next().unwrap_or(Ok(0));
+        Ok(Self {
+            running: next()?,
+            waiting: next()?,
+            slots: next()?,
+        })
+    }
+}
+
+impl std::fmt::Display for ReportedLoad {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "{},{},{}", self.running, self.waiting, self.slots)
+    }
+}
+
+/// Outcome of a request at an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// The response was complete.
+    Served,
+    /// The endpoint rejected the request and reported that it did not run it.
+    Refused,
+    /// The endpoint returned an error or a broken response.
+    Failed,
+    /// The endpoint could not be reached or did not answer in time.
+    Unreachable,
+    /// The caller left or the deadline passed before the endpoint had finished; says nothing of the endpoint.
+    Abandoned,
+}
+
+/// Load of one endpoint as this entry knows it.
+#[derive(Debug, Default)]
+pub(super) struct LoadView {
+    /// Requests of this entry in flight.
+    pub(super) in_flight: u32,
+    /// Prompt tokens of the requests in flight that the endpoint has yet to read.
+    unread_tokens: u32,
+    /// Requests of other entries when the endpoint last reported its load, and the time of that report.
+    other_load: u32,
+    reported_at: Option<Millis>,
+    /// Address of each other entry with requests in flight here, their number and the time of its report.
+    pub(super) peer_load: Vec<(SocketAddr, u16, Millis)>,
+    /// Moving average of failures, 0 to 1.
+    failures: f64,
+    /// End of the backoff after a rejected request, and the length of that backoff.
+    pub(super) backoff: (Millis, Millis),
+    /// Time until which the endpoint asked to get no requests; a served request does not end this pause early.
+    pub(super) paused_until: Millis,
+    pub(super) breaker: Breaker,
+    /// Newest version of weights that a response of the endpoint reported.
+    pub(super) version: WeightVersion,
+}
+
+impl LoadView {
+    /// Returns the requests at the endpoint: those of this entry, and those of other entries as far as they are known.
+    pub(super) fn load(&self, now: Millis, peers_complete: bool) -> u32 {
+        let peer_load: u32 = self
+            .peer_load
+            .iter()
+            .filter(|t| now < t.2 + PEER_LOAD_LIFETIME)
+            .map(|t| u32::from(t.1))
+            .sum();
+        let fresh = self
+            .reported_at
+            .is_some_and(|at| now < at + REPORT_LIFETIME);
+        if peers_complete || !fresh {
+            return self.in_flight + peer_load;
+        }
+        self.in_flight + peer_load.max(self.other_load)
+    }
+
+    /// Returns the cost of one more request at a load of `load` requests, as a share of the endpoint's slots.
+    pub(super) fn cost(&self, e: &Endpoint, query: &EndpointQuery<'_>, load: u32) -> f64 {
+        let share = f64::from(load) / f64::from(e.record.slots.max(1));
+        let far = f64::from(u8::from(e.record.zone != *query.zone)) * ZONE_COST;
+        let read = query.read_rate.map_or(0.0, |rate| {
+            f64::from(self.unread_tokens) / rate / READ_MS_PER_SLOTS
+        });
+        share + far + read + self.failures * FAILURE_COST
+    }
+
+    /// Counts a request that is sent; `prompt` is its length in tokens.
+    pub(super) fn begin(&mut self, prompt: u32, now: Millis) {
+        self.in_flight += 1;
+        self.unread_tokens += prompt;
+        self.breaker.begin(now);
+    }
+
+    /// Removes a request's prompt, in tokens, from those that the endpoint has yet to read.
+    pub(super) fn prompt_read(&mut self, prompt: u32) {
+        self.unread_tokens = self.unread_tokens.saturating_sub(prompt);
+    }
+
+    /// Records the load and the version that a response reports.
+    pub(super) fn report(
+        &mut self,
+        load: Option<ReportedLoad>,
+        version: Option<WeightVersion>,
+        now: Millis,
+    ) {
+        if let Some(load) = load {
+            self.other_load = (load.running + load.waiting).saturating_sub(self.in_flight);
+            self.reported_at = Some(now);
+        }
+        if let Some(version) = version {
+            self.version = self.version.max(version);
+        }
+    }
+
+    /// Counts the end of a request, and updates failures, backoff and circuit breaker by its outcome.
+    pub(super) fn end(&mut self, outcome: Outcome, now: Millis) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        let mut record_failure = |failed: f64| {
+            self.failures += (failed - self.failures) * FAILURE_WEIGHT;
+        };
+        match outcome {
+            Outcome::Served => {
+                record_failure(0.0);
+                self.breaker.record_success();
+                self.backoff = Default::default();
+            }
+            Outcome::Refused => {
+                let time = self.backoff.1.times(2).clamp(BACKOFF, BACKOFF_MAX);
+                self.backoff = (now + time, time);
+                self.breaker.release_probe();
+            }
+            Outcome::Failed => {
+                record_failure(1.0);
+                self.breaker.release_probe();
+            }
+            Outcome::Unreachable => {
+                record_failure(1.0);
+                self.breaker.record_failure(now);
+            }
+            Outcome::Abandoned => self.breaker.release_probe(),
+        }
+    }
+}
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -1,184 +1,190 @@
-//! Entries that callers may connect to, by datagrams between them.
+//! Membership of the entries, by heartbeats that they exchange in datagrams.
 //!
-//! Each entry announces itself in the store once and then sends its beat several times a second: to all entries while
-//! they are few, otherwise to those of its zone and a few random ones, with the newest beats that it has of others. An
-//! entry whose beat does not increase is left out of the directory.
+//! Each entry announces itself in the store once and then sends a heartbeat several times a second: to all entries
+//! while they are few, otherwise to some of its zone and a few random ones of others, together with the newest
+//! heartbeats that it has of other entries. An entry whose heartbeat count does not increase is left out of the
+//! directory.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
 use super::{
-    fleet::{EndpointNews, FleetDigest},
-    homes::Place,
+    endpoint_table::{EndpointUpdate, TableDigest},
+    ownership::ReadyEntry,
     CatalogVersion, WeightVersion,
 };
 use crate::base::{rendezvous, HashMap, HashSet, Millis, Zone};
 
-/// Time between two datagrams to the same entries.
-pub(super) const BEAT: Millis = Millis(250);
+/// Interval of the datagrams to other entries.
+pub(super) const HEARTBEAT_INTERVAL: Millis = Millis(250);
 
-/// Entries up to which each one sends its beat to all others.
-const ALL_MAX: usize = 16;
+/// Number of other entries below which each entry sends its heartbeat to all of them.
+const SEND_ALL_MAX: usize = 16;
 
-/// Entries of the own zone, and of all zones, that get each beat when there are more than [`ALL_MAX`].
+/// Live entries of the own zone, and of all other zones, that get each datagram once there are [`SEND_ALL_MAX`] others.
 const ZONE_FANOUT: usize = 12;
-const FANOUT: usize = 3;
+const REMOTE_FANOUT: usize = 3;
 
-/// Beats of others in a datagram when entries do not send to all; it stays below the smallest usual packet size.
-const BEATS_MAX: usize = 16;
+/// Relayed heartbeats in a datagram when entries do not send to all; keeps datagrams below the smallest usual packet
+/// size.
+const RELAY_MAX: usize = 16;
 
-/// Time without a newer beat after which an entry counts as gone.
-const SILENCE: Millis = Millis(1800);
+/// Heartbeat timeout: time without a newer heartbeat after which an entry counts as failed.
+const TIMEOUT: Millis = Millis(1800);
 
-/// Time for which a new entry counts as live without a beat.
-const WELCOME: Millis = Millis(2500);
+/// Join grace period: time for which an announced entry counts as live before its first heartbeat.
+const JOIN_GRACE: Millis = Millis(2500);
 
-/// Time without a beat after which an entry is forgotten.
-const FORGET: Millis = Millis(120_000);
+/// Time without a newer heartbeat after which an entry is removed from the membership.
+const RETENTION: Millis = Millis(120_000);
 
-/// Entries of each zone that read the store for all of the zone; one where there are more zones than [`ZONES_MAX`], whose
-/// readers stand in for each other.
-const READERS: usize = 2;
+/// Zone readers, the entries of each zone that read the store for the others of the zone; one per zone where there are
+/// more than [`ZONES_MAX`] zones, as zones then fall back on each other's reader.
+const ZONE_READERS: usize = 2;
 const ZONES_MAX: usize = 3;
 
-/// Entries that an agent tells at most.
-const TOLD_MAX: usize = 64;
+/// Largest number of entries that an agent notifies while no entry reads the store.
+const NOTIFY_MAX: usize = 64;
 
-/// Time without a beat after which an entry is no longer relied on for what the store says; a few beats.
-const READER_SILENCE: Millis = Millis(800);
+/// Time without a newer heartbeat after which a zone reader is no longer relied on; a few heartbeat intervals.
+const READER_TIMEOUT: Millis = Millis(800);
 
-/// Time for which an entry that did not pass on its table is not asked again.
-const DISTRUST: Millis = Millis(1500);
+/// Backoff before an entry that did not send its endpoint table is queried again.
+const QUERY_BACKOFF: Millis = Millis(1500);
 
-/// What an entry knows and does at one moment.
+/// Status of an entry, part of its heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Whether it takes callers.
+    /// Whether callers may be sent to the entry.
     pub ready: bool,
-    /// Version of its catalog.
+    /// Version of the catalog in force there.
     pub catalog: CatalogVersion,
-    /// Whether it reads the store, and the store answers.
-    pub follows: bool,
-    /// Hash of its table of endpoints.
-    pub fleet: FleetDigest,
+    /// Whether it reads the store, and the store responds.
+    pub reads_store: bool,
+    /// Hash of its endpoint table.
+    pub table: TableDigest,
 }
 
-/// State of an entry at one moment.
+/// Heartbeat of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
-    /// Datagram address; identifies the host.
+pub struct Heartbeat {
+    /// Address for datagrams and queries of other entries; identifies the entry.
     pub peer: SocketAddr,
     /// Address for callers.
     pub callers: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the entry.
     pub zone: Zone,
     /// Start of the process in Unix milliseconds.
     pub boot: u64,
-    /// Count of beats since the start.
+    /// Number of heartbeats since the start.
     pub count: u64,
-    /// What it knows and does.
+    /// Status at the time of the heartbeat.
     pub status: Status,
 }
 
-/// A version of weights and the time since it was named.
+/// A desired version of weights and the time since it became desired.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedAge {
-    /// Model.
+pub struct DesiredAge {
+    /// Model name.
     pub model: String,
-    /// Version.
+    /// Version of the model's weights.
     pub version: WeightVersion,
-    /// Time since the sender, or the one that told it, heard of it.
+    /// Time since the process that read the operator's record did so.
     pub age: Millis,
 }
 
-/// Hash of an endpoint's id; short, because each datagram names every endpoint in use.
+/// Hash of an endpoint's id; 32 bits, because each datagram lists every endpoint with requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointHash(pub u32);
 
-/// What entries tell each other.
+/// Content of a datagram from one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Datagram {
-    /// The sender's beat, then those of others.
-    pub beats: Vec<Beat>,
-    /// Named versions of weights that still matter.
-    pub named: Vec<NamedAge>,
-    /// The sender's requests in progress at each endpoint.
-    pub loads: Vec<(EndpointHash, u16)>,
-    /// Endpoints that told the sender lately that they leave.
+pub struct Gossip {
+    /// Heartbeat of the sender, then relayed heartbeats of other entries.
+    pub heartbeats: Vec<Heartbeat>,
+    /// Desired versions that may not be enforced yet.
+    pub desired: Vec<DesiredAge>,
+    /// The sender's requests in flight at each endpoint.
+    pub in_flight: Vec<(EndpointHash, u16)>,
+    /// Endpoints that announced lately that they are leaving.
     pub leaving: Vec<EndpointHash>,
 }
 
 /// A datagram to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From another entry.
-    Beat(Datagram),
-    /// From an agent, to entries that read the store.
-    Endpoint(EndpointNews),
+    /// Sent by another entry.
+    Gossip(Gossip),
+    /// Sent by an agent, to the entries that read the store.
+    Endpoint(EndpointUpdate),
 }
 
-impl Beat {
+impl Heartbeat {
     fn order(&self) -> (u64, u64) {
         (self.boot, self.count)
     }
 }
 
-/// Another entry.
+/// Another entry, as this one knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its newest beat.
-    pub beat: Beat,
-    /// When a newer beat arrived last.
-    heard: Millis,
-    /// Whether a beat arrived, and not only its announcement.
-    beating: bool,
-    /// Time before which it is not asked for its table.
-    distrusted: Millis,
-    /// See [`rank`]; kept because each look compares the ranks of a whole zone.
+    /// Newest heartbeat, or the announcement until the first heartbeat arrives.
+    pub heartbeat: Heartbeat,
+    /// Time at which this entry received that heartbeat or announcement.
+    last_seen: Millis,
+    /// Whether a heartbeat arrived, not only the announcement in the store.
+    sends_heartbeats: bool,
+    /// End of the backoff after the entry did not send its endpoint table.
+    backoff_until: Millis,
+    /// Result of [`rank`], kept because [`Membership::is_zone_reader`] compares the ranks of a whole zone.
     rank: u64,
 }
 
 impl Member {
-    fn new(beat: Beat, beating: bool, now: Millis) -> Self {
+    fn new(heartbeat: Heartbeat, sends_heartbeats: bool, now: Millis) -> Self {
         Self {
-            rank: rank(beat.peer),
-            beat,
-            heard: now,
-            beating,
-            distrusted: Millis::ZERO,
+            rank: rank(heartbeat.peer),
+            heartbeat,
+            last_seen: now,
+            sends_heartbeats,
+            backoff_until: Millis::ZERO,
         }
     }
 
     fn is_live(&self, now: Millis) -> bool {
-        let limit = if self.beating { SILENCE } else { WELCOME };
-        now < self.heard + limit
+        let limit = if self.sends_heartbeats {
+            TIMEOUT
+        } else {
+            JOIN_GRACE
+        };
+        now < self.last_seen + limit
     }
 
-    /// Returns whether the entry tells what the store says.
+    /// Returns whether the entry can be relied on for the state of the store.
     fn is_reader(&self, now: Millis) -> bool {
-        let fresh = self.beating && now < self.heard + READER_SILENCE;
-        fresh && self.beat.status.follows && self.distrusted <= now
+        let fresh = self.sends_heartbeats && now < self.last_seen + READER_TIMEOUT;
+        fresh && self.heartbeat.status.reads_store && self.backoff_until <= now
     }
 }
 
-/// Order in which entries read the store for their zone; lower is first.
+/// Rank of an entry in the choice of zone readers; those with the lowest ranks read the store.
 fn rank(peer: SocketAddr) -> u64 {
     rendezvous(b"reader", peer.to_string().as_bytes())
 }
 
-/// Entries as one of them knows them.
+/// All entries as this one knows them.
 #[derive(Debug)]
-pub struct Members {
-    me: Beat,
-    /// Own rank; see [`rank`].
+pub struct Membership {
+    me: Heartbeat,
+    /// Rank of this entry; see [`rank`].
     rank: u64,
     others: HashMap<SocketAddr, Member>,
 }
 
-impl Members {
-    /// Starts with this entry alone.
-    pub fn new(me: Beat) -> Self {
+impl Membership {
+    /// Creates a membership that holds this entry alone.
+    pub fn new(me: Heartbeat) -> Self {
         Self {
             rank: rank(me.peer),
             me,
@@ -186,184 +192,197 @@
         }
     }
 
-    /// Returns this entry's beat.
-    pub fn me(&self) -> &Beat {
+    /// Returns this entry's latest heartbeat.
+    pub fn me(&self) -> &Heartbeat {
         &self.me
     }
 
-    /// Returns the number of entries, with this one.
+    /// Returns the number of known entries, this one included.
     pub fn count(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// Notes an announcement in the store.
-    pub fn announce(&mut self, beat: Beat, now: Millis) {
-        if beat.peer == self.me.peer || self.others.contains_key(&beat.peer) {
+    /// Adds an entry from its announcement in the store; ignored if the entry is known.
+    pub fn announce(&mut self, heartbeat: Heartbeat, now: Millis) {
+        if heartbeat.peer == self.me.peer || self.others.contains_key(&heartbeat.peer) {
             return;
         }
-        let member = Member::new(beat, false, now);
-        self.others.insert(member.beat.peer, member);
+        let member = Member::new(heartbeat, false, now);
+        self.others.insert(member.heartbeat.peer, member);
     }
 
-    /// Takes a beat from a datagram; returns whether the entry became live or not ready by it.
-    pub fn hear(&mut self, beat: Beat, now: Millis) -> bool {
-        if beat.peer == self.me.peer {
+    /// Merges a received heartbeat; returns whether the entry thereby became live or changed its readiness.
+    pub fn merge(&mut self, heartbeat: Heartbeat, now: Millis) -> bool {
+        if heartbeat.peer == self.me.peer {
             return false;
         }
-        let Some(known) = self.others.get_mut(&beat.peer) else {
-            let member = Member::new(beat, true, now);
-            self.others.insert(member.beat.peer, member);
+        let Some(known) = self.others.get_mut(&heartbeat.peer) else {
+            let member = Member::new(heartbeat, true, now);
+            self.others.insert(member.heartbeat.peer, member);
             return true;
         };
-        if known.beating && beat.order() <= known.beat.order() {
+        if known.sends_heartbeats && heartbeat.order() <= known.heartbeat.order() {
             return false;
         }
-        let changed = known.beat.status.ready != beat.status.ready || !known.is_live(now);
-        known.beat = beat;
-        known.heard = now;
-        known.beating = true;
+        let changed = known.heartbeat.status.ready != heartbeat.status.ready || !known.is_live(now);
+        known.heartbeat = heartbeat;
+        known.last_seen = now;
+        known.sends_heartbeats = true;
         changed
     }
 
-    /// Prepares the beats of the next datagram: this entry's first, then the ones heard last.
-    pub fn beat(&mut self, status: Status, now: Millis) -> Vec<Beat> {
+    /// Returns the heartbeats for the next datagram: a new one of this entry, then the most recently received ones of
+    /// others. Also removes entries without a heartbeat for [`RETENTION`].
+    pub fn next_heartbeats(&mut self, status: Status, now: Millis) -> Vec<Heartbeat> {
         self.me.count += 1;
         self.me.status = status;
-        self.others.retain(|_, m| now < m.heard + FORGET);
+        self.others.retain(|_, m| now < m.last_seen + RETENTION);
         if self.sends_to_all() {
             return vec![self.me.clone()];
         }
-        let mut newest: Vec<_> = self.others.values().filter(|m| m.beating).collect();
-        newest.sort_unstable_by_key(|m| std::cmp::Reverse(m.heard));
+        let mut newest: Vec<_> = self
+            .others
+            .values()
+            .filter(|m| m.sends_heartbeats)
+            .collect();
+        newest.sort_unstable_by_key(|m| std::cmp::Reverse(m.last_seen));
         let others = newest.into_iter().filter(|m| m.is_live(now));
-        let beats = others.take(BEATS_MAX).map(|m| m.beat.clone());
-        std::iter::once(self.me.clone()).chain(beats).collect()
+        let heartbeats = others.take(RELAY_MAX).map(|m| m.heartbeat.clone());
+        std::iter::once(self.me.clone()).chain(heartbeats).collect()
     }
 
-    /// Returns whether each entry sends to all others.
+    /// Returns whether each entry sends its datagrams to all others.
     pub fn sends_to_all(&self) -> bool {
-        self.others.len() < ALL_MAX
+        self.others.len() < SEND_ALL_MAX
     }
 
-    /// Chooses the entries that get a datagram. Of many entries, a silent one is among them, so that the two sides of a
-    /// healed cut find each other.
-    pub fn targets(&self, now: Millis) -> Vec<SocketAddr> {
-        let peer = |m: &&Member| m.beat.peer;
+    /// Chooses the entries that get the next datagram. If not all do, an entry that timed out is among them, so that
+    /// the two sides of a healed network partition find each other.
+    pub fn gossip_targets(&self, now: Millis) -> Vec<SocketAddr> {
+        let peer = |m: &&Member| m.heartbeat.peer;
         if self.sends_to_all() {
-            return self.others.values().map(|m| m.beat.peer).collect();
+            return self.others.values().map(|m| m.heartbeat.peer).collect();
         }
-        let (mut live, silent): (Vec<_>, Vec<_>) =
+        let (mut live, timed_out): (Vec<_>, Vec<_>) =
             self.others.values().partition(|m| m.is_live(now));
         fastrand::shuffle(&mut live);
-        let near = live.iter().filter(|m| m.beat.zone == self.me.zone);
+        let near = live.iter().filter(|m| m.heartbeat.zone == self.me.zone);
         let mut out: Vec<_> = near.take(ZONE_FANOUT).map(peer).collect();
-        let far = live.iter().filter(|m| m.beat.zone != self.me.zone);
-        out.extend(far.take(FANOUT).map(peer));
-        if !silent.is_empty() {
-            out.push(silent[fastrand::usize(..silent.len())].beat.peer);
+        let far = live.iter().filter(|m| m.heartbeat.zone != self.me.zone);
+        out.extend(far.take(REMOTE_FANOUT).map(peer));
+        if !timed_out.is_empty() {
+            out.push(timed_out[fastrand::usize(..timed_out.len())].heartbeat.peer);
         }
         out
     }
 
     fn is_near(&self, m: &Member) -> bool {
-        m.beat.zone == self.me.zone
+        m.heartbeat.zone == self.me.zone
     }
 
-    /// Returns whether this entry reads the store itself: it is one of the first of its zone, or those do not read.
-    pub fn reads_store(&self, now: Millis) -> bool {
+    /// Returns whether this entry has to read the store: too few entries of its zone with a lower rank do so.
+    pub fn is_zone_reader(&self, now: Millis) -> bool {
         let readers = self
             .others
             .values()
             .filter(|m| self.is_near(m) && m.is_reader(now));
-        readers.filter(|m| m.rank < self.rank).count() < self.readers_wanted()
+        readers.filter(|m| m.rank < self.rank).count() < self.readers_per_zone()
     }
 
-    /// Returns how many entries of each zone read the store.
-    fn readers_wanted(&self) -> usize {
-        let others = self.others.values().map(|m| &m.beat.zone);
+    /// Returns how many entries of each zone have to read the store.
+    fn readers_per_zone(&self) -> usize {
+        let others = self.others.values().map(|m| &m.heartbeat.zone);
         let zones: HashSet<_> = others.chain([&self.me.zone]).collect();
         if zones.len() > ZONES_MAX {
             1
         } else {
-            READERS
+            ZONE_READERS
         }
     }
 
-    /// Returns an entry that reads the store: the first of the own zone, or any other.
-    pub fn reader(&self, now: Millis) -> Option<&Beat> {
+    /// Returns the entry to query for the state of the store: the zone reader of the own zone with the lowest rank, or
+    /// else one of another zone.
+    pub fn zone_reader(&self, now: Millis) -> Option<&Heartbeat> {
         let readers = self.others.values().filter(|m| m.is_reader(now));
         let first = readers.min_by_key(|m| (!self.is_near(m), m.rank))?;
-        Some(&first.beat)
+        Some(&first.heartbeat)
     }
 
-    /// Returns the entries that agents tell of their endpoints: those that read the store and pass on what they know. While
-    /// nobody does, for example because the store is away, all live ones up to a number.
-    pub fn told(&self, zone: &str, now: Millis) -> Vec<SocketAddr> {
+    /// Returns the entries that an agent of a zone notifies of its endpoint: those that read the store, which pass it
+    /// on. While none does, for example during an outage of the store, up to [`NOTIFY_MAX`] live entries.
+    pub fn notify_targets(&self, zone: &str, now: Millis) -> Vec<SocketAddr> {
         let readers = self.readers(now);
         if readers.is_empty() {
-            self.peers(zone, TOLD_MAX, now)
+            self.peers(zone, NOTIFY_MAX, now)
         } else {
             readers
         }
     }
 
-    /// Returns the entries that read the store; this one too if it does.
+    /// Returns the addresses of the entries that read the store, including this one if it does.
     pub fn readers(&self, now: Millis) -> Vec<SocketAddr> {
         let others = self.others.values().filter(|m| m.is_reader(now));
-        let me = Some(&self.me).filter(|me| me.status.follows);
-        others.map(|m| &m.beat).chain(me).map(|b| b.peer).collect()
+        let me = Some(&self.me).filter(|me| me.status.reads_store);
+        others
+            .map(|m| &m.heartbeat)
+            .chain(me)
+            .map(|b| b.peer)
+            .collect()
     }
 
-    /// Notes that an entry did not pass on its table.
-    pub fn distrust(&mut self, peer: SocketAddr, now: Millis) {
+    /// Starts the backoff of an entry that did not send its endpoint table.
+    pub fn back_off(&mut self, peer: SocketAddr, now: Millis) {
         if let Some(m) = self.others.get_mut(&peer) {
-            m.distrusted = now + DISTRUST;
+            m.backoff_until = now + QUERY_BACKOFF;
         }
     }
 
-    /// Returns a live entry with a newer catalog than a version: of the own zone, if an entry of it reads the store.
+    /// Returns a live entry with the newest catalog, if that is newer than `than`. While an entry of the own zone reads
+    /// the store, only entries of the own zone are considered.
     pub fn newer_catalog(&self, than: CatalogVersion, now: Millis) -> Option<SocketAddr> {
         let reads = |m: &Member| self.is_near(m) && m.is_reader(now);
         let near = self.others.values().any(reads);
         let newer = |m: &&Member| {
-            m.is_live(now) && m.beat.status.catalog > than && (!near || self.is_near(m))
+            m.is_live(now) && m.heartbeat.status.catalog > than && (!near || self.is_near(m))
         };
-        // Any of them, so that no link carries all copies of a large catalog.
+        // A random one of the entries with the newest catalog, so that no single link carries all copies of a large
+        // catalog.
         let newer: Vec<_> = self.others.values().filter(newer).collect();
-        let newest = newer.iter().map(|m| m.beat.status.catalog).max()?;
+        let newest = newer.iter().map(|m| m.heartbeat.status.catalog).max()?;
         let newest: Vec<_> = newer
             .iter()
-            .filter(|m| m.beat.status.catalog == newest)
+            .filter(|m| m.heartbeat.status.catalog == newest)
             .collect();
-        Some(newest[fastrand::usize(..newest.len())].beat.peer)
+        Some(newest[fastrand::usize(..newest.len())].heartbeat.peer)
     }
 
-    /// Returns the peer addresses of a few live entries, those of a zone first, for agents.
+    /// Returns the peer addresses of up to `max` live entries, those of `zone` first, for agents.
     pub fn peers(&self, zone: &str, max: usize, now: Millis) -> Vec<SocketAddr> {
         let others = self.others.values().filter(|m| m.is_live(now));
-        let mut all: Vec<&Beat> = others.map(|m| &m.beat).chain([&self.me]).collect();
+        let mut all: Vec<&Heartbeat> = others.map(|m| &m.heartbeat).chain([&self.me]).collect();
         fastrand::shuffle(&mut all);
         all.sort_by_key(|b| b.zone.as_str() != zone);
         all.into_iter().take(max).map(|b| b.peer).collect()
     }
 
-    /// Returns the live entries that take callers, with this one if it does.
-    pub fn places(&self, now: Millis) -> Vec<Place> {
+    /// Returns the live entries that take callers, including this one if it does.
+    pub fn ready_entries(&self, now: Millis) -> Vec<ReadyEntry> {
         let others = self.others.values().filter(|m| m.is_live(now));
-        let all = others.map(|m| &m.beat).chain([&self.me]);
+        let all = others.map(|m| &m.heartbeat).chain([&self.me]);
         let ready = all.filter(|b| b.status.ready);
-        let place = |b: &Beat| Place {
+        let entry = |b: &Heartbeat| ReadyEntry {
             peer: b.peer,
             zone: b.zone.clone(),
         };
-        ready.map(place).collect()
+        ready.map(entry).collect()
     }
 
-    /// Returns the addresses for a caller of a zone: those of the zone first if there are at least two, then all.
+    /// Returns up to `max` addresses for a caller of `zone`: entries of the zone if at least [`NEAR_MIN`] are ready,
+    /// else of all zones; in random order.
     pub fn addresses(&self, zone: &str, max: usize, now: Millis) -> Vec<SocketAddr> {
         let others = self.others.values().filter(|m| m.is_live(now));
-        let all: Vec<&Beat> = others
-            .map(|m| &m.beat)
+        let all: Vec<&Heartbeat> = others
+            .map(|m| &m.heartbeat)
             .chain([&self.me])
             .filter(|b| b.status.ready)
             .collect();
@@ -383,5 +402,5 @@
     }
 }
 
-/// Ready entries of a zone that are enough for its callers.
+/// Ready entries of a zone from which on its callers get no entries of other zones.
 const NEAR_MIN: usize = 2;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,61 +7,63 @@
 
 mod accept;
 mod assignment;
-mod balance;
 mod catalog;
 mod choose;
+mod compression;
 mod context;
+mod desired;
 mod directory;
+mod endpoint_table;
 mod evaluate;
 mod events;
-mod fleet;
 mod follow;
 mod followers;
 mod forward;
+mod gossip;
 mod headers;
-mod homes;
+mod load_balancer;
+mod load_view;
 mod log_event;
 mod members;
 mod metrics;
-mod named;
 mod operator_records;
-mod packed;
-mod peers;
-mod reading;
+mod ownership;
 mod record;
 mod reply;
 mod run;
+mod schedule;
 mod serve;
 mod settings;
 mod stream;
-mod turns;
-mod view;
+mod zone_reader;
 
 pub use assignment::Assignment;
 pub(crate) use assignment::{ASSIGNMENT_PATH, ASSIGNMENT_WAIT};
-pub use balance::{Ask, Balance, Loads, Refusal, Wanted};
 pub use catalog::{
     CallerLimits, Catalog, CatalogVersion, EngineSpeed, OriginSpec, Repeat, Route, ServiceSpec,
     ServiceWeights, WorkspaceSpec,
 };
+pub use compression::{compress, decompress};
+pub use desired::DesiredVersions;
 pub use directory::Directory;
-pub use events::{EventError, EventId, Events};
-pub use fleet::{
-    Change, Endpoint, EndpointId, EndpointNews, Fleet, FleetDigest, FleetNews, RENEWAL,
+pub use endpoint_table::{
+    Change, Endpoint, EndpointId, EndpointTable, EndpointUpdate, TableDelta, TableDigest, RENEWAL,
 };
+pub use events::{EventError, EventId, Events};
 pub use follow::{follow, Follower};
 pub use headers::Headers;
-pub use homes::{homes, Place};
-pub use members::{Beat, Datagram, EndpointHash, Member, Members, Message, NamedAge, Status};
-pub use named::Named;
+pub use load_balancer::{EndpointQuery, LoadBalancer, PendingLoads, Refusal, WeightRequirement};
+pub use load_view::{Outcome, ReportedLoad};
+pub use members::{
+    DesiredAge, EndpointHash, Gossip, Heartbeat, Member, Membership, Message, Status,
+};
 pub use operator_records::{Decode, OperatorFollower, OperatorSink};
-pub use packed::{pack, unpack};
+pub use ownership::{owned_endpoints, ReadyEntry};
 pub use record::{
-    EndpointRecord, Intent, Record, RecordStore, Records, Revision, StoreError, Topic,
+    EndpointRecord, OperatorRecord, Record, RecordStore, Records, Revision, StoreError, Topic,
     WeightVersion,
 };
 pub use reply::Reject;
 pub use run::run;
+pub use schedule::LoadSchedule;
 pub use settings::{Bounds, GatewaySettings, Listen};
-pub use turns::Turns;
-pub use view::{Load, Outcome};
--- a/src/gateway/operator_records.rs
+++ b/src/gateway/operator_records.rs
@@ -7,7 +7,7 @@
 use super::{
     catalog::Catalog,
     follow::Follower,
-    record::{EndpointRecord, Intent, Record, WeightVersion},
+    record::{EndpointRecord, OperatorRecord, Record, WeightVersion},
 };
 
 /// Decodes the records of the platform's store.
@@ -18,7 +18,7 @@
     /// # Errors
     ///
     /// Returns why the value cannot be decoded.
-    fn operator_record(key: &[u8], value: &[u8]) -> Result<Option<Intent>, String>;
+    fn operator_record(key: &[u8], value: &[u8]) -> Result<Option<OperatorRecord>, String>;
 
     /// Decodes the value of a configuration record.
     ///
@@ -96,8 +96,8 @@
             return;
         };
         match D::operator_record(&record.key, &value) {
-            Ok(Some(Intent::Catalog(catalog))) => self.sink.catalog(*catalog, value),
-            Ok(Some(Intent::Weights(model, version))) => {
+            Ok(Some(OperatorRecord::Catalog(catalog))) => self.sink.catalog(*catalog, value),
+            Ok(Some(OperatorRecord::Weights(model, version))) => {
                 self.sink.weights(model, version, !self.read.get());
             }
             Ok(None) => {}
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's store, decoded.
+//! Decoded records of the platform's store.
 
 use std::{future::Future, net::SocketAddr, rc::Rc};
 
@@ -11,64 +11,65 @@
 /// A compacted topic: the newest record of each key is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Configuration and named weight versions; written by the operator.
+    /// Configuration and desired weight versions; written by the operator.
     Operator,
-    /// Endpoints; written by themselves.
+    /// Endpoints; each one writes its own record.
     Endpoints,
-    /// Entries; written by themselves.
+    /// Announcements of entries; each one writes its own record.
     Entries,
 }
 
 /// A record of a compacted topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Key.
+    /// Key within the topic.
     pub key: Bytes,
-    /// Value; `None` removes the key.
+    /// Encoded value; `None` removes the key.
     pub value: Option<Bytes>,
 }
 
-/// Records and the offset that follows them.
+/// Records of a topic and the offset that follows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Records {
-    /// Records in the order of the log.
+    /// In the order of the log.
     pub records: Vec<Record>,
-    /// Offset of the next record to read.
+    /// Offset from which to read next.
     pub next: u64,
 }
 
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The store answered that it did nothing.
-    #[error("the store refused the call with status {0}; retry later")]
+    /// The store responded that it did not carry out the call; holds the HTTP status.
+    #[error("the store rejected the call with status {0}; retry later")]
     Refused(u16),
-    /// No response came; a write may have taken effect.
-    #[error("the store did not answer ({0}); a write may have taken effect")]
+    /// No response arrived; a write may have taken effect. Holds the cause.
+    #[error("the store did not respond ({0}); a write may have taken effect")]
     Unknown(String),
-    /// The records from the wanted offset on are no longer kept.
-    #[error("the records are no longer kept; read the newest record of each key")]
+    /// The log no longer holds the records from the requested offset on.
+    #[error("the log no longer holds the requested records; read the newest record of each key")]
     Trimmed,
-    /// The response cannot be decoded.
+    /// The response cannot be decoded; holds the cause.
     #[error("the store's response is malformed ({0}); check the platform's version")]
     Malformed(String),
 }
 
-/// The platform's store.
+/// Store of the platform: logs of records, one for each topic.
 pub trait RecordStore: Clone + 'static {
-    /// Reads the newest record of each key. The records were read in pages and are not a snapshot; `next` is the end of
-    /// the log before the first page.
+    /// Reads the newest record of each key. The records are read in pages and are no consistent snapshot; `next` is the
+    /// end of the log before the first page.
     ///
     /// # Errors
     ///
     /// Returns an error if the store cannot be reached.
     fn newest(&self, topic: Topic) -> impl Future<Output = Result<Records, StoreError>>;
 
-    /// Reads records from an offset on; waits up to `wait` for the first one.
+    /// Reads records from the offset `from` on; waits up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Trimmed`] if the offset is no longer kept.
+    /// Returns [`StoreError::Trimmed`] if the log no longer holds the record at the offset, and other variants if the
+    /// store cannot be reached or its response cannot be decoded.
     fn read(
         &self,
         topic: Topic,
@@ -76,16 +77,17 @@
         wait: Millis,
     ) -> impl Future<Output = Result<Records, StoreError>>;
 
-    /// Appends a record.
+    /// Appends a record to a topic's log.
     ///
     /// # Errors
     ///
-    /// After [`StoreError::Unknown`] the record may be in the log, now or later.
+    /// Returns why the record was not written. After [`StoreError::Unknown`] it may be in the log nevertheless, now or
+    /// later.
     fn append(&self, topic: Topic, record: &Record)
         -> impl Future<Output = Result<(), StoreError>>;
 }
 
-/// Version of a model's weights.
+/// Version of a model's weights; a newer version has a higher number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -105,41 +107,41 @@
     }
 }
 
-/// What an operator's record says.
+/// Content of an operator's record.
 #[derive(Clone, Debug)]
-pub enum Intent {
-    /// A whole configuration.
+pub enum OperatorRecord {
+    /// A complete configuration.
     Catalog(Box<Catalog>),
-    /// A version of a model's weights that endpoints have to serve.
+    /// A model and the version of its weights that becomes the desired one.
     Weights(Rc<str>, WeightVersion),
 }
 
-/// Order of the records of one endpoint: its start in Unix milliseconds, then the count of its records.
+/// Order of the records of one endpoint: by the endpoint's start, then by the sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Revision {
-    /// Time of the endpoint's start.
+    /// Start of the endpoint in Unix milliseconds.
     pub born: u64,
-    /// Count of records since the start.
+    /// Number of records written since the start.
     pub sequence: u64,
 }
 
-/// What an endpoint says of itself.
+/// State of an endpoint as its record in the store describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Service.
+    /// Service to which the endpoint belongs.
     pub service: Service,
-    /// Address.
+    /// Address for requests.
     pub addr: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the endpoint.
     pub zone: Zone,
-    /// Requests that run at once.
+    /// Requests that the endpoint can run at once.
     pub slots: u32,
-    /// Whether it leaves and takes no new requests.
+    /// Whether the endpoint is leaving and takes no new requests.
     pub draining: bool,
-    /// Time for which it is still slow after its start.
+    /// Time for which the endpoint is still slow after its start, at the time of the record.
     pub cold: Millis,
-    /// Loaded weights.
+    /// Loaded versions by model.
     pub models: Vec<(Rc<str>, WeightVersion)>,
-    /// Order among the records of the endpoint.
+    /// Position among the records of the endpoint.
     pub revision: Revision,
 }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -13,14 +13,14 @@
 
 use super::{
     context::Context,
-    fleet::Change,
+    endpoint_table::Change,
     follow::follow,
     followers::{endpoint_changed, EndpointFollower, EntryFollower},
+    gossip::{follow_peers, mirror_table, receive, send_gossip, send_periodically},
     log_event,
-    members::{Beat, Members, Status},
+    members::{Heartbeat, Membership, Status},
     metrics::GatewayMetrics,
     operator_records::{Decode, OperatorFollower},
-    peers::{beat, follow_peers, hear, mirror_fleet, send_beat},
     record::{Record, RecordStore, Topic},
     serve, GatewaySettings, Headers,
 };
@@ -60,7 +60,7 @@
     lines: LeftOut,
 ) -> eyre::Result<()> {
     let settings = load()?;
-    let me = Beat {
+    let me = Heartbeat {
         peer: settings.listen.peers,
         callers: settings.listen.callers,
         zone: settings.zone.clone(),
@@ -78,7 +78,7 @@
     let ctx = Context::new(
         settings,
         headers,
-        Members::new(me),
+        Membership::new(me),
         GatewayMetrics::register(lines),
     );
     let (closing, closed) = watch::channel(false);
@@ -113,10 +113,10 @@
         .await
         .wrap_err("cannot bind the gossip socket; check the settings")?;
     let socket = Rc::new(socket);
-    spawn_local(hear(ctx.clone(), socket.clone()));
-    spawn_local(beat(ctx.clone(), socket.clone()));
+    spawn_local(receive(ctx.clone(), socket.clone()));
+    spawn_local(send_periodically(ctx.clone(), socket.clone()));
     spawn_local(follow_peers::<D>(ctx.clone()));
-    spawn_local(mirror_fleet(ctx.clone()));
+    spawn_local(mirror_table(ctx.clone()));
     let mut term = signal(SignalKind::terminate()).wrap_err("cannot handle SIGTERM")?;
     let mut hangup = signal(SignalKind::hangup()).wrap_err("cannot handle SIGHUP")?;
     loop {
@@ -212,17 +212,17 @@
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL.duration()).await;
         let now = ctx.now();
-        let expired = ctx.fleet.borrow_mut().expire(now);
+        let expired = ctx.endpoints.borrow_mut().expire(now);
         for id in &expired {
             endpoint_changed(&ctx, id, Change::Removed);
         }
         if !expired.is_empty() {
-            ctx.tell();
+            ctx.notify_changed();
         }
-        ctx.divide();
+        ctx.update_ownership();
         ctx.pool.sweep(now);
-        let fleet = ctx.fleet.borrow();
-        ctx.balance
+        let fleet = ctx.endpoints.borrow();
+        ctx.balancer
             .borrow_mut()
             .retain(|id| fleet.get(id).is_some());
     }
@@ -242,8 +242,8 @@
         "state=draining running={}",
         ctx.running.get()
     );
-    let targets = ctx.members.borrow().targets(ctx.now());
-    send_beat(ctx, socket, &targets).await;
+    let targets = ctx.members.borrow().gossip_targets(ctx.now());
+    send_gossip(ctx, socket, &targets).await;
     tokio::time::sleep(DRAIN_ACCEPT_TIME.duration()).await;
     closing.send_replace(true);
     let end = start + ctx.bounds.get().grace - EXIT_MARGIN;
--- a/src/gateway/turns.rs
+++ b/src/gateway/schedule.rs
@@ -1,8 +1,9 @@
-//! Turns in which the hosts of a service load a new version, as an entry foresees them.
+//! Load schedule of a service: the times at which its hosts stop serving to load a new version, as an entry computes
+//! them.
 
 use super::{
-    fleet::{Endpoint, EndpointId, Fleet},
-    named::Named,
+    desired::DesiredVersions,
+    endpoint_table::{Endpoint, EndpointId, EndpointTable},
     record::WeightVersion,
 };
 use crate::{
@@ -10,39 +11,40 @@
     decide::rollout::{order, Rollout},
 };
 
-/// Positions of the hosts of one service in the turns of a version.
+/// Positions of the hosts of one service in the load schedule of one version.
 #[derive(Clone, Debug)]
-struct Ranks {
+struct VersionSchedule {
     version: WeightVersion,
     ranks: HashMap<EndpointId, usize>,
 }
 
-/// Positions of the hosts of one service in the turns of the versions that some have yet to load.
+/// Positions of the hosts of one service in the load schedules of its newest desired versions.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct LoadSchedule {
     hosts: usize,
-    /// In the order of versions.
-    versions: Vec<Ranks>,
+    /// In ascending order of versions.
+    versions: Vec<VersionSchedule>,
 }
 
-impl Turns {
-    /// Orders the hosts of a service; `origin` is the availability zone of the origin, if it is known.
+impl LoadSchedule {
+    /// Orders the hosts of a service for each version; `origin` is the availability zone of the weight store, if it is
+    /// known.
     pub fn new(
-        fleet: &Fleet,
+        table: &EndpointTable,
         service: &Service,
         versions: &[WeightVersion],
         origin: Option<&Zone>,
     ) -> Self {
         let rank = |version: &WeightVersion| {
-            let mut hosts: Vec<_> = fleet
-                .of(service)
+            let mut hosts: Vec<_> = table
+                .of_service(service)
                 .map(|e| {
                     let near = Some(&e.record.zone) == origin;
                     (order(e.record.addr.ip(), near, version.0), e.id.clone())
                 })
                 .collect();
             hosts.sort_unstable();
-            Ranks {
+            VersionSchedule {
                 version: *version,
                 ranks: hosts
                     .into_iter()
@@ -52,31 +54,33 @@
             }
         };
         Self {
-            hosts: fleet.of(service).count(),
+            hosts: table.of_service(service).count(),
             versions: versions.iter().map(rank).collect(),
         }
     }
 
-    /// Returns the newest version.
+    /// Returns the newest version of the schedule.
     pub fn newest(&self) -> Option<WeightVersion> {
         self.versions.last().map(|v| v.version)
     }
 
-    /// Returns the turn of an endpoint that has a version loaded; `None` if it does not load soon.
-    pub fn turn(
+    /// Returns the scheduled load start of an endpoint that has loaded a version; `None` if it has no newer version to
+    /// load or was not in the table when the schedule was made. `bound` is the time after which a desired version is
+    /// enforced.
+    pub fn load_start(
         &self,
         e: &Endpoint,
         loaded: WeightVersion,
-        named: &Named,
+        desired: &DesiredVersions,
         bound: Millis,
     ) -> Option<Millis> {
-        let outdated = named.outdated(loaded)?;
+        let since = desired.superseded_at(loaded)?;
         let next = self.versions.iter().find(|v| v.version > loaded)?;
         let rollout = Rollout {
             bound,
             rank: *next.ranks.get(&e.id)?,
             hosts: self.hosts,
         };
-        Some(rollout.start(outdated))
+        Some(rollout.start(since))
     }
 }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -156,13 +156,13 @@
 /// Handles a request of another entry or of an agent.
 pub(super) async fn peer(ctx: &Context, path: &str) -> FullResponse {
     let body = match path {
-        CATALOG_PATH => ctx.packed_catalog(),
+        CATALOG_PATH => ctx.compressed_catalog(),
         _ => match (
             path.strip_prefix(TABLE_PATH),
             path.strip_prefix(ASSIGNMENT_PATH),
         ) {
             (Some(since), _) => encoded_table_delta(ctx, since),
-            (_, Some(query)) => assignment::answer(ctx, query).await.map(Bytes::from),
+            (_, Some(query)) => assignment::reply(ctx, query).await.map(Bytes::from),
             _ => None,
         },
     };
@@ -175,14 +175,14 @@
 /// Returns the encoded changes of the endpoint table since `boot/count` (see [`TABLE_PATH`]), or the whole table if
 /// `boot` is not the start of this process. Returns `None` while this entry does not read the store.
 fn encoded_table_delta(ctx: &Context, since: &str) -> Option<Bytes> {
-    if !ctx.follows() {
+    if !ctx.is_reading() {
         return None;
     }
     let (boot, count) = since.split_once('/')?;
     let boot: u64 = boot.parse().ok()?;
     let same_process = boot == ctx.members.borrow().me().boot;
     let count: Option<u64> = count.parse().ok().filter(|_| same_process);
-    let news = ctx.fleet.borrow().news(count);
+    let news = ctx.endpoints.borrow().delta_since(count);
     postcard::to_stdvec(&news).ok().map(Bytes::from)
 }
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -17,8 +17,8 @@
     evaluate::keep_connection,
     events::Events,
     forward::{attempt, may_repeat, Attempt, Attempts, StreamingResponse, Target},
+    load_view::Outcome,
     log_event, metrics,
-    view::Outcome,
 };
 use crate::{base::Millis, emit};
 
@@ -110,7 +110,7 @@
             match self.read().await {
                 ReadResult::Events(data) => {
                     if let Some(source) = &mut self.source {
-                        source.target.flight.has_read();
+                        source.target.flight.prompt_read();
                     }
                     if !self.begun {
                         self.begun = true;
--- a/src/staging/agent.rs
+++ b/src/staging/agent.rs
@@ -22,7 +22,7 @@
 use crate::{
     base::{jitter, Clock, HashMap, Millis, SystemClock},
     emit,
-    gateway::{Decode, Named, OriginSpec, RecordStore, WeightVersion},
+    gateway::{Decode, DesiredVersions, OriginSpec, RecordStore, WeightVersion},
     net::Pacer,
 };
 
@@ -55,7 +55,7 @@
     /// Own model and the origin, from the catalog.
     pub(super) model: RefCell<Option<Rc<str>>>,
     pub(super) origin_spec: RefCell<Option<OriginSpec>>,
-    pub(super) desired: RefCell<HashMap<Rc<str>, Named>>,
+    pub(super) desired: RefCell<HashMap<Rc<str>, DesiredVersions>>,
     /// When an entry last told the work, and when this agent started.
     pub(super) last_assigned: Cell<Option<Millis>>,
     /// Entries to tell of the endpoint.
@@ -175,7 +175,7 @@
     fn target(&self) -> Option<Target> {
         let model = self.model.borrow().clone()?;
         let desired = self.desired.borrow();
-        let version = desired.get(&model).and_then(Named::newest);
+        let version = desired.get(&model).and_then(DesiredVersions::newest);
         Some(Target { model, version })
     }
 
--- a/src/staging/assignment.rs
+++ b/src/staging/assignment.rs
@@ -13,7 +13,8 @@
     decide::chunk::Topology,
     emit,
     gateway::{
-        Assignment, Catalog, Decode, EndpointNews, Named, RecordStore, Topic, WeightVersion,
+        Assignment, Catalog, Decode, DesiredVersions, EndpointUpdate, RecordStore, Topic,
+        WeightVersion,
     },
 };
 
@@ -38,7 +39,7 @@
         let newer = {
             let mut desired = self.desired.borrow_mut();
             let versions = desired.entry(model.clone()).or_default();
-            versions.note(version, found, now)
+            versions.record(version, found, now)
         };
         emit!(
             log_event::NAMED,
@@ -66,11 +67,11 @@
         if self.model.replace(Some(model.clone())).as_ref() != Some(model) {
             self.changed.notify_one();
         }
-        for n in &assignment.named {
+        for n in &assignment.desired {
             let mut desired = self.desired.borrow_mut();
             let versions = desired.entry(model.clone()).or_default();
             let before = versions.newest();
-            if versions.learn(n.version, now - n.age) {
+            if versions.merge(n.version, now - n.age) {
                 let (version, age) = (n.version, n.age);
                 emit!(
                     log_event::NAMED,
@@ -81,7 +82,11 @@
                 self.changed.notify_one();
             }
         }
-        let known = self.desired.borrow().get(model).and_then(Named::newest);
+        let known = self
+            .desired
+            .borrow()
+            .get(model)
+            .and_then(DesiredVersions::newest);
         if let Some(newest) = assignment.newest.filter(|n| known < Some(*n)) {
             self.add_desired(model.clone(), newest, true);
         }
@@ -131,11 +136,11 @@
     }
 
     /// Returns what entries should know of the endpoint, and the entries to tell.
-    pub(super) fn endpoint_update(&self) -> Option<(EndpointNews, Vec<SocketAddr>)> {
+    pub(super) fn endpoint_update(&self) -> Option<(EndpointUpdate, Vec<SocketAddr>)> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
         let loading = self.loader.loading.get();
-        let update = EndpointNews {
+        let update = EndpointUpdate {
             addr: self.endpoint.get()?,
             born: report.born,
             models: if loading {
--- a/src/staging/entries.rs
+++ b/src/staging/entries.rs
@@ -8,7 +8,9 @@
 use crate::{
     base::{jitter, Clock, Millis, SystemClock},
     emit,
-    gateway::{Assignment, Beat, Decode, RecordStore, Topic, ASSIGNMENT_PATH, ASSIGNMENT_WAIT},
+    gateway::{
+        Assignment, Decode, Heartbeat, RecordStore, Topic, ASSIGNMENT_PATH, ASSIGNMENT_WAIT,
+    },
     http::{get, Pool},
 };
 
@@ -102,7 +104,7 @@
         }
     };
     let values = records.iter().filter_map(|r| r.value.as_ref());
-    let mut beats: Vec<Beat> = values
+    let mut beats: Vec<Heartbeat> = values
         .filter_map(|v| postcard::from_bytes(v).ok())
         .collect();
     fastrand::shuffle(&mut beats);
--- a/src/staging/load.rs
+++ b/src/staging/load.rs
@@ -144,7 +144,7 @@
         };
         let outdated = self.loaded().and_then(|loaded| {
             let desired = self.desired.borrow();
-            desired.get(model)?.outdated(loaded)
+            desired.get(model)?.superseded_at(loaded)
         });
         let now = self.now();
         let turn = outdated.map_or(now, |at| rollout.start_from(at, now));
--- a/tests/catalog_packed.rs
+++ b/tests/catalog_packed.rs
@@ -1,6 +1,6 @@
 //! Compressed catalogs that entries pass on.
 
-use sesamewing::gateway::{pack, unpack};
+use sesamewing::gateway::{compress, decompress};
 
 /// Guards against large catalogs that fill the links of a zone whenever one route changes.
 #[test]
@@ -13,20 +13,20 @@
     };
     let routes: Vec<_> = (0..1500).map(route).collect();
     let raw = format!("[{}]", routes.join(","));
-    let packed = pack(raw.as_bytes()).expect("memory can be written");
+    let packed = compress(raw.as_bytes()).expect("memory can be written");
     assert!(
         packed.len() < raw.len() / 5,
         "{} of {}",
         packed.len(),
         raw.len()
     );
-    assert_eq!(unpack(&packed).expect("what was packed"), raw);
+    assert_eq!(decompress(&packed).expect("what was packed"), raw);
 }
 
 /// Guards against an entry that puts a damaged catalog in force.
 #[test]
 fn damaged_data_is_refused() {
-    let packed = pack(&[7; 4000]).expect("memory can be written");
-    assert!(unpack(&packed[..packed.len() / 2]).is_err());
-    assert!(unpack(b"catalog").is_err());
+    let packed = compress(&[7; 4000]).expect("memory can be written");
+    assert!(decompress(&packed[..packed.len() / 2]).is_err());
+    assert!(decompress(b"catalog").is_err());
 }
--- a/tests/gateway_balance.rs
+++ b/tests/gateway_balance.rs
@@ -5,8 +5,9 @@
 use sesamewing::{
     base::{HashSet, Millis, Zone},
     gateway::{
-        Ask, Balance, Endpoint, EndpointId, EndpointRecord, Fleet, Loads, Named, Outcome, Refusal,
-        Revision, Turns, Wanted, WeightVersion,
+        DesiredVersions, Endpoint, EndpointId, EndpointQuery, EndpointRecord, EndpointTable,
+        LoadBalancer, LoadSchedule, Outcome, PendingLoads, Refusal, Revision, WeightRequirement,
+        WeightVersion,
     },
 };
 
@@ -24,8 +25,8 @@
 }
 
 /// A fleet of engines with version 1, in zones `a` and `b` by turns.
-fn fleet(count: usize) -> Fleet {
-    let mut fleet = Fleet::default();
+fn fleet(count: usize) -> EndpointTable {
+    let mut fleet = EndpointTable::default();
     for i in 0..count {
         let record = EndpointRecord {
             service: "llm".parse().expect("a valid name"),
@@ -42,39 +43,43 @@
     fleet
 }
 
-fn ask<'a>(zone: &'a Zone, homes: &'a HashSet<EndpointId>) -> Ask<'a> {
-    Ask {
+fn ask<'a>(zone: &'a Zone, homes: &'a HashSet<EndpointId>) -> EndpointQuery<'a> {
+    EndpointQuery {
         zone,
-        weights: Some(Wanted {
+        weights: Some(WeightRequirement {
             model: MODEL,
-            loads: None,
+            pending: None,
             oldest: WeightVersion(0),
-            waiting: WeightVersion(0),
+            oldest_queued: WeightVersion(0),
         }),
         exact: None,
         tried: &[],
-        homes,
+        owned: homes,
         read_rate: None,
-        returning: false,
+        retrying: false,
         duration: Millis(1000),
     }
 }
 
 /// The same request that must begin on a version or a newer one.
-fn beginning_at<'a>(plain: &Ask<'a>, oldest: WeightVersion) -> Ask<'a> {
+fn beginning_at<'a>(plain: &EndpointQuery<'a>, oldest: WeightVersion) -> EndpointQuery<'a> {
     let wanted = plain.weights.expect("a model is asked for");
-    Ask {
-        weights: Some(Wanted { oldest, ..wanted }),
+    EndpointQuery {
+        weights: Some(WeightRequirement { oldest, ..wanted }),
         ..plain.clone()
     }
 }
 
-fn all(fleet: &Fleet) -> impl Iterator<Item = &Endpoint> {
+fn all(fleet: &EndpointTable) -> impl Iterator<Item = &Endpoint> {
     fleet.iter()
 }
 
 /// Sends requests until one is refused; returns their number.
-fn fill(balance: &mut Balance, fleet: &Fleet, ask: &Ask<'_>) -> (u32, Refusal) {
+fn fill(
+    balance: &mut LoadBalancer,
+    fleet: &EndpointTable,
+    ask: &EndpointQuery<'_>,
+) -> (u32, Refusal) {
     for sent in 0..1000 {
         match balance.pick(all(fleet), ask, NOW) {
             Ok(e) => balance.begin(&e.id.clone(), 0, NOW),
@@ -88,7 +93,7 @@
 /// against refusals while slots are free.
 #[test]
 fn overload_is_refused_beyond_the_slots() {
-    let (mut balance, fleet, home) = (Balance::default(), fleet(4), zone("a"));
+    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(4), zone("a"));
     let none = HashSet::default();
     let (sent, refusal) = fill(&mut balance, &fleet, &ask(&home, &none));
     assert_eq!(sent, 4 * SLOTS);
@@ -101,7 +106,7 @@
 /// Pattern: steady load. Guards against a zone's traffic that crosses to other zones while its own has room.
 #[test]
 fn light_load_stays_in_the_zone() {
-    let (mut balance, fleet, home) = (Balance::default(), fleet(4), zone("a"));
+    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(4), zone("a"));
     let none = HashSet::default();
     let near = (0..100).filter(|_| {
         let e = balance.pick(all(&fleet), &ask(&home, &none), NOW);
@@ -114,24 +119,24 @@
 /// against an endpoint that stays avoided after it said that it takes requests again.
 #[test]
 fn refusing_endpoints_are_passed_over() {
-    let (mut balance, fleet, home) = (Balance::default(), fleet(1), zone("a"));
+    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(1), zone("a"));
     let none = HashSet::default();
     let e = name(0);
     balance.begin(&e, 0, NOW);
     balance.end(&e, Outcome::Refused, NOW);
-    let pick = |b: &mut Balance, now| b.pick(all(&fleet), &ask(&home, &none), now).is_ok();
+    let pick = |b: &mut LoadBalancer, now| b.pick(all(&fleet), &ask(&home, &none), now).is_ok();
     assert!(!pick(&mut balance, NOW + Millis(50)));
     assert!(pick(&mut balance, NOW + Millis(1000)));
     balance.begin(&e, 0, NOW);
     balance.end(&e, Outcome::Refused, NOW);
-    balance.recover(&e);
+    balance.clear_backoff(&e);
     assert!(pick(&mut balance, NOW + Millis(1)));
 }
 
 /// Pattern: an endpoint fails part of its requests. Guards against a grey endpoint that keeps its share of traffic.
 #[test]
 fn failing_endpoints_lose_traffic() {
-    let (mut balance, fleet, home) = (Balance::default(), fleet(3), zone("a"));
+    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(3), zone("a"));
     let none = HashSet::default();
     let grey = name(0);
     for i in 0..20 {
@@ -154,7 +159,7 @@
 /// another version than they began on.
 #[test]
 fn versions_bind() {
-    let (mut balance, fleet, home) = (Balance::default(), fleet(2), zone("a"));
+    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(2), zone("a"));
     let none = HashSet::default();
     let plain = ask(&home, &none);
     let newer = beginning_at(&plain, WeightVersion(2));
@@ -166,7 +171,7 @@
     balance.report(&loaded, None, Some(WeightVersion(2)), NOW);
     let found = balance.pick(all(&fleet), &newer, NOW).map(|e| e.id.clone());
     assert_eq!(found, Ok(loaded));
-    let exact = Ask {
+    let exact = EndpointQuery {
         exact: Some(WeightVersion(1)),
         ..plain
     };
@@ -176,22 +181,22 @@
 
 /// A fleet in which a version is named, and the turns of its hosts.
 struct Rollout {
-    fleet: Fleet,
-    named: Named,
-    turns: Turns,
+    fleet: EndpointTable,
+    named: DesiredVersions,
+    turns: LoadSchedule,
 }
 
 impl Rollout {
     /// Names versions some time apart.
     fn new(hosts: usize, versions: &[(u64, Millis)]) -> Self {
         let fleet = fleet(hosts);
-        let mut named = Named::default();
+        let mut named = DesiredVersions::default();
         for (version, at) in versions {
-            named.name(WeightVersion(*version), *at);
+            named.set(WeightVersion(*version), *at);
         }
         let all: Vec<_> = versions.iter().map(|v| WeightVersion(v.0)).collect();
         let service = "llm".parse().expect("a valid name");
-        let turns = Turns::new(&fleet, &service, &all, None);
+        let turns = LoadSchedule::new(&fleet, &service, &all, None);
         Self {
             fleet,
             named,
@@ -200,7 +205,9 @@
     }
 
     fn turn(&self, e: &Endpoint) -> Millis {
-        let turn = self.turns.turn(e, WeightVersion(1), &self.named, BOUND);
+        let turn = self
+            .turns
+            .load_start(e, WeightVersion(1), &self.named, BOUND);
         turn.expect("the endpoint has yet to load")
     }
 
@@ -211,17 +218,17 @@
         order
     }
 
-    fn ask<'a>(&'a self, plain: Ask<'a>, duration: Millis) -> Ask<'a> {
-        Ask {
-            weights: Some(Wanted {
+    fn ask<'a>(&'a self, plain: EndpointQuery<'a>, duration: Millis) -> EndpointQuery<'a> {
+        EndpointQuery {
+            weights: Some(WeightRequirement {
                 model: MODEL,
-                loads: Some(Loads {
-                    turns: &self.turns,
-                    named: &self.named,
+                pending: Some(PendingLoads {
+                    schedule: &self.turns,
+                    desired: &self.named,
                     bound: BOUND,
                 }),
                 oldest: WeightVersion(0),
-                waiting: WeightVersion(0),
+                oldest_queued: WeightVersion(0),
             }),
             duration,
             ..plain
@@ -238,7 +245,7 @@
     let order = rollout.order();
     let (first, last) = (order[0], order[7]);
     let now = Millis(rollout.turn(first).0 - 200);
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let mut pick = |duration| {
         let ask = rollout.ask(ask(&home, &none), duration);
         let two = [first, last].into_iter();
@@ -258,7 +265,7 @@
     let rollout = Rollout::new(2, &[(2, NOW)]);
     let order = rollout.order();
     let now = Millis(rollout.turn(order[0]).0 - 200);
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for _ in 0..SLOTS {
         balance.begin(&order[1].id, 0, now);
     }
@@ -275,7 +282,7 @@
     let rollout = Rollout::new(4, &[(2, NOW)]);
     let order = rollout.order();
     let now = rollout.turn(order[1]) + Millis(900);
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let long = rollout.ask(ask(&home, &none), Millis(4000));
     let near = [order[2], order[3]];
     assert!(balance.pick(near.into_iter(), &long, now).is_err());
@@ -307,8 +314,8 @@
     let (home, none) = (zone("a"), HashSet::default());
     let plain = ask(&home, &none);
     let newer = beginning_at(&plain, WeightVersion(2));
-    let mean_wait = |fleet: &Fleet| {
-        let mut balance = Balance::default();
+    let mean_wait = |fleet: &EndpointTable| {
+        let mut balance = LoadBalancer::default();
         let waits = (0..100).map(|_| match balance.pick(all(fleet), &newer, NOW) {
             Err(Refusal::Unavailable(wait)) => wait.0,
             other => panic!("{other:?}"),
@@ -330,6 +337,6 @@
     let (home, none) = (zone("a"), HashSet::default());
     let rollout = Rollout::new(2, &[(2, NOW)]);
     let long = rollout.ask(ask(&home, &none), Millis(60_000));
-    let refused = Balance::default().pick(rollout.fleet.iter(), &long, NOW);
+    let refused = LoadBalancer::default().pick(rollout.fleet.iter(), &long, NOW);
     assert!(matches!(refused, Err(Refusal::Overloaded(t)) if t < Millis(1000)));
 }
--- a/tests/gateway_fleet.rs
+++ b/tests/gateway_fleet.rs
@@ -3,7 +3,8 @@
 use sesamewing::{
     base::{HashSet, Millis},
     gateway::{
-        Change, EndpointId, EndpointNews, EndpointRecord, Fleet, Revision, WeightVersion, RENEWAL,
+        Change, EndpointId, EndpointRecord, EndpointTable, EndpointUpdate, Revision, WeightVersion,
+        RENEWAL,
     },
 };
 
@@ -27,7 +28,7 @@
 /// Guards against a delayed write that brings back what an endpoint said before.
 #[test]
 fn older_records_are_stale() {
-    let (mut fleet, e) = (Fleet::default(), id("e"));
+    let (mut fleet, e) = (EndpointTable::default(), id("e"));
     let now = Millis(1000);
     assert_eq!(fleet.apply(&e, Some(record(10, 5)), now), Change::Added);
     let draining = EndpointRecord {
@@ -45,7 +46,7 @@
 /// Guards against an endpoint that left and gets requests again because of a record that was written late.
 #[test]
 fn removed_endpoints_stay_away() {
-    let (mut fleet, e) = (Fleet::default(), id("e"));
+    let (mut fleet, e) = (EndpointTable::default(), id("e"));
     fleet.apply(&e, Some(record(10, 5)), Millis(0));
     assert_eq!(fleet.apply(&e, None, Millis(10)), Change::Removed);
     assert_eq!(
@@ -61,12 +62,12 @@
 /// Guards against an empty table after an outage of the store in which all records expired.
 #[test]
 fn outage_leaves_time_to_renew() {
-    let (mut fleet, live, dead) = (Fleet::default(), id("live"), id("dead"));
+    let (mut fleet, live, dead) = (EndpointTable::default(), id("live"), id("dead"));
     fleet.apply(&live, Some(record(10, 1)), Millis(0));
     fleet.apply(&dead, Some(record(10, 1)), Millis(0));
     let back = Millis(9000);
-    fleet.regained(back);
-    let missing = fleet.retain(&HashSet::default(), back);
+    fleet.store_recovered(back);
+    let missing = fleet.retain_present(&HashSet::default(), back);
     assert_eq!(missing.len(), 2);
     assert_eq!(fleet.iter().count(), 2, "both may still renew");
     fleet.apply(&live, Some(record(10, 9)), back + Millis(1500));
@@ -83,16 +84,16 @@
     }
 }
 
-fn news(born: u64, version: Option<u64>) -> EndpointNews {
+fn news(born: u64, version: Option<u64>) -> EndpointUpdate {
     let record = loaded(0, version);
-    EndpointNews {
+    EndpointUpdate {
         addr: record.addr,
         born,
         models: record.models,
     }
 }
 
-fn version(fleet: &Fleet) -> Option<WeightVersion> {
+fn version(fleet: &EndpointTable) -> Option<WeightVersion> {
     fleet.get(&id("e"))?.weights("m")
 }
 
@@ -100,38 +101,43 @@
 #[test]
 fn changes_are_mirrored() {
     let now = Millis(0);
-    let (mut fleet, mut copy) = (Fleet::default(), Fleet::default());
+    let (mut fleet, mut copy) = (EndpointTable::default(), EndpointTable::default());
     for (name, born) in [("a", 1), ("b", 2), ("c", 3)] {
         fleet.apply(&id(name), Some(record(born, 1)), now);
     }
-    let whole = fleet.news(None);
+    let whole = fleet.delta_since(None);
     let count = whole.count;
-    assert_eq!(copy.mirror(whole, now).len(), 3);
+    assert_eq!(copy.apply_delta(whole, now).len(), 3);
     assert_eq!(copy.digest(), fleet.digest());
     fleet.apply(&id("a"), None, now);
     fleet.apply(&id("b"), Some(record(2, 2)), now);
-    assert_eq!(copy.mirror(fleet.news(Some(count)), now).len(), 1);
+    assert_eq!(
+        copy.apply_delta(fleet.delta_since(Some(count)), now).len(),
+        1
+    );
     fleet.apply(&id("d"), Some(record(4, 1)), now);
-    let later = fleet.news(Some(fleet.news(None).count - 1));
+    let later = fleet.delta_since(Some(fleet.delta_since(None).count - 1));
     assert_eq!((later.records.len(), later.removed.len()), (1, 0));
-    copy.mirror(later, now);
+    copy.apply_delta(later, now);
     assert_eq!(copy.digest(), fleet.digest());
     // Another entry's whole table replaces everything.
-    let other = Fleet::default().news(None);
-    assert_eq!(copy.mirror(other, now).len(), 3);
+    let other = EndpointTable::default().delta_since(None);
+    assert_eq!(copy.apply_delta(other, now).len(), 3);
 }
 
 /// Guards against requests to an endpoint that drains for a load although its record does not say so yet, and against
 /// an endpoint that stands idle after its load until the record is read.
 #[test]
 fn agents_are_faster_than_records() {
-    let mut fleet = Fleet::default();
+    let mut fleet = EndpointTable::default();
     fleet.apply(&id("e"), Some(loaded(1, Some(1))), Millis(0));
-    assert!(fleet.hear(&news(10, None), Millis(100)).is_some());
+    assert!(fleet.apply_update(&news(10, None), Millis(100)).is_some());
     // The record still names the version until the drain ends.
     fleet.apply(&id("e"), Some(loaded(2, Some(1))), Millis(600));
     assert_eq!(version(&fleet), None);
-    assert!(fleet.hear(&news(10, Some(2)), Millis(1500)).is_some());
+    assert!(fleet
+        .apply_update(&news(10, Some(2)), Millis(1500))
+        .is_some());
     assert_eq!(version(&fleet), Some(WeightVersion(2)));
     fleet.apply(&id("e"), Some(loaded(3, None)), Millis(1600));
     assert_eq!(version(&fleet), Some(WeightVersion(2)));
@@ -142,13 +148,13 @@
 /// Guards against an endpoint that stays unused because its agent ended after it said that a load begins.
 #[test]
 fn silent_agent_is_outlived() {
-    let mut fleet = Fleet::default();
+    let mut fleet = EndpointTable::default();
     fleet.apply(&id("e"), Some(loaded(1, Some(1))), Millis(0));
-    fleet.hear(&news(10, None), Millis(100));
+    fleet.apply_update(&news(10, None), Millis(100));
     fleet.apply(&id("e"), Some(loaded(2, Some(1))), Millis(9000));
     assert_eq!(version(&fleet), Some(WeightVersion(1)));
     // News of an earlier run of the endpoint says nothing.
-    assert!(fleet.hear(&news(9, None), Millis(9100)).is_none());
+    assert!(fleet.apply_update(&news(9, None), Millis(9100)).is_none());
 }
 
 /// Guards against a record from before the endpoint's word that makes it usable again, and against a restarted endpoint
@@ -157,16 +163,16 @@
 fn records_do_not_undo_leaving() {
     let id = id("e");
     let now = Millis(1000);
-    let (mut fleet, mut other) = (Fleet::default(), Fleet::default());
+    let (mut fleet, mut other) = (EndpointTable::default(), EndpointTable::default());
     fleet.apply(&id, Some(record(1, 1)), now);
     other.apply(&id, Some(record(1, 1)), now);
-    assert!(fleet.leave(&id, now));
-    assert!(!fleet.leave(&id, now), "once is enough");
-    let draining = |f: &Fleet| f.get(&id).is_some_and(|e| e.record.draining);
+    assert!(fleet.mark_leaving(&id, now));
+    assert!(!fleet.mark_leaving(&id, now), "once is enough");
+    let draining = |f: &EndpointTable| f.get(&id).is_some_and(|e| e.record.draining);
     fleet.apply(&id, Some(record(1, 2)), now);
     assert!(draining(&fleet));
     // Other entries learn it from a datagram.
-    let told = other.leave_told(&fleet.leaving(now), now);
+    let told = other.merge_leaving(&fleet.leaving(now), now);
     assert!(told.len() == 1 && told[0] == id);
     assert!(draining(&other));
     fleet.apply(&id, Some(record(2, 1)), now);
--- a/tests/gateway_homes.rs
+++ b/tests/gateway_homes.rs
@@ -4,7 +4,10 @@
 
 use sesamewing::{
     base::{HashSet, Millis, Zone},
-    gateway::{homes, Ask, Balance, EndpointId, EndpointRecord, Fleet, Place, Revision},
+    gateway::{
+        owned_endpoints, EndpointId, EndpointQuery, EndpointRecord, EndpointTable, LoadBalancer,
+        ReadyEntry, Revision,
+    },
 };
 
 const NOW: Millis = Millis(100_000);
@@ -14,16 +17,16 @@
     text.parse().expect("a valid name")
 }
 
-fn entry(n: u8, zone_name: &str) -> Place {
-    Place {
+fn entry(n: u8, zone_name: &str) -> ReadyEntry {
+    ReadyEntry {
         peer: SocketAddr::from(([10, 0, 1, n], 7)),
         zone: zone(zone_name),
     }
 }
 
 /// A fleet with some endpoints in each of some zones.
-fn fleet(zones: &[(&str, usize)]) -> Fleet {
-    let mut fleet = Fleet::default();
+fn fleet(zones: &[(&str, usize)]) -> EndpointTable {
+    let mut fleet = EndpointTable::default();
     for (name, count) in zones {
         for i in 0..*count {
             let record = EndpointRecord {
@@ -56,7 +59,7 @@
     ];
     let all: Vec<_> = entries
         .iter()
-        .map(|e| homes(&fleet, &entries, e.peer))
+        .map(|e| owned_endpoints(&fleet, &entries, e.peer))
         .collect();
     let mut seen = HashSet::default();
     for id in all.iter().flatten() {
@@ -74,23 +77,23 @@
 fn lost_entries_have_no_homes() {
     let fleet = fleet(&[("a", 12)]);
     let entries = [entry(1, "a"), entry(3, "a")];
-    assert!(homes(&fleet, &entries, entry(2, "a").peer).is_empty());
+    assert!(owned_endpoints(&fleet, &entries, entry(2, "a").peer).is_empty());
     let sum: usize = entries
         .iter()
-        .map(|e| homes(&fleet, &entries, e.peer).len())
+        .map(|e| owned_endpoints(&fleet, &entries, e.peer).len())
         .sum();
     assert_eq!(sum, 12);
 }
 
-fn ask<'a>(zone: &'a Zone, homes: &'a HashSet<EndpointId>) -> Ask<'a> {
-    Ask {
+fn ask<'a>(zone: &'a Zone, homes: &'a HashSet<EndpointId>) -> EndpointQuery<'a> {
+    EndpointQuery {
         zone,
         weights: None,
         exact: None,
         tried: &[],
-        homes,
+        owned: homes,
         read_rate: Some(20.0),
-        returning: false,
+        retrying: false,
         duration: Millis(1000),
     }
 }
@@ -100,8 +103,8 @@
 fn steady_load_stays_at_home() {
     let (fleet, home) = (fleet(&[("a", 12)]), zone("a"));
     let entries = [entry(1, "a"), entry(2, "a"), entry(3, "a")];
-    let mine = homes(&fleet, &entries, entries[0].peer);
-    let mut balance = Balance::default();
+    let mine = owned_endpoints(&fleet, &entries, entries[0].peer);
+    let mut balance = LoadBalancer::default();
     for _ in 0..8 {
         let e = balance.pick(fleet.iter(), &ask(&home, &mine), NOW);
         let id = e.expect("an endpoint has room").id.clone();
@@ -115,8 +118,8 @@
 fn excess_load_goes_elsewhere() {
     let (fleet, home) = (fleet(&[("a", 12)]), zone("a"));
     let entries = [entry(1, "a"), entry(2, "a"), entry(3, "a")];
-    let mine = homes(&fleet, &entries, entries[0].peer);
-    let mut balance = Balance::default();
+    let mine = owned_endpoints(&fleet, &entries, entries[0].peer);
+    let mut balance = LoadBalancer::default();
     let mut away = 0;
     for _ in 0..12 * SLOTS {
         let e = balance.pick(fleet.iter(), &ask(&home, &mine), NOW);
@@ -133,11 +136,11 @@
 fn unread_prompts_are_passed_over() {
     let (fleet, home) = (fleet(&[("a", 2)]), zone("a"));
     let mine: HashSet<_> = fleet.iter().map(|e| e.id.clone()).collect();
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let ids: Vec<_> = mine.iter().cloned().collect();
     balance.begin(&ids[0], 3000, NOW);
     balance.begin(&ids[1], 3000, NOW);
-    balance.has_read(&ids[1], 3000);
+    balance.prompt_read(&ids[1], 3000);
     for _ in 0..10 {
         let e = balance.pick(fleet.iter(), &ask(&home, &mine), NOW);
         assert_eq!(e.map(|e| e.id.clone()), Ok(ids[1].clone()));
--- a/tests/gateway_members.rs
+++ b/tests/gateway_members.rs
@@ -4,15 +4,15 @@
 
 use sesamewing::{
     base::Millis,
-    gateway::{Beat, CatalogVersion, Directory, FleetDigest, Members, Status},
+    gateway::{CatalogVersion, Directory, Heartbeat, Membership, Status, TableDigest},
 };
 
 fn addr(host: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, host], port))
 }
 
-fn beat(host: u8, zone: &str, count: u64) -> Beat {
-    Beat {
+fn beat(host: u8, zone: &str, count: u64) -> Heartbeat {
+    Heartbeat {
         peer: addr(host, 1),
         callers: addr(host, 2),
         zone: zone.parse().expect("a valid name"),
@@ -30,13 +30,13 @@
     }
 }
 
-fn members() -> Members {
-    let mut members = Members::new(beat(1, "a", 0));
-    members.beat(status(0), Millis(0));
+fn members() -> Membership {
+    let mut members = Membership::new(beat(1, "a", 0));
+    members.next_heartbeats(status(0), Millis(0));
     members
 }
 
-fn answer(members: &Members, zone: &str, now: Millis) -> Vec<SocketAddr> {
+fn answer(members: &Membership, zone: &str, now: Millis) -> Vec<SocketAddr> {
     let answer = Directory::for_caller(members, zone, Millis(5000), now);
     let mut out = answer.map(|a| a.addresses).unwrap_or_default();
     out.sort_unstable();
@@ -47,12 +47,12 @@
 #[test]
 fn silent_entries_are_left_out() {
     let mut members = members();
-    members.hear(beat(2, "a", 1), Millis(100));
+    members.merge(beat(2, "a", 1), Millis(100));
     assert_eq!(answer(&members, "a", Millis(200)).len(), 2);
     // A beat that was heard before says nothing, whoever repeats it.
-    assert!(!members.hear(beat(2, "a", 1), Millis(2000)));
+    assert!(!members.merge(beat(2, "a", 1), Millis(2000)));
     assert_eq!(answer(&members, "a", Millis(2100)), [addr(1, 2)]);
-    assert!(members.hear(beat(2, "a", 2), Millis(2200)));
+    assert!(members.merge(beat(2, "a", 2), Millis(2200)));
     assert_eq!(answer(&members, "a", Millis(2300)).len(), 2);
 }
 
@@ -60,12 +60,12 @@
 #[test]
 fn draining_entries_are_left_out() {
     let mut members = members();
-    members.hear(beat(2, "a", 1), Millis(100));
-    let leaving = Beat {
+    members.merge(beat(2, "a", 1), Millis(100));
+    let leaving = Heartbeat {
         status: Status::default(),
         ..beat(2, "a", 2)
     };
-    assert!(members.hear(leaving, Millis(150)));
+    assert!(members.merge(leaving, Millis(150)));
     assert_eq!(answer(&members, "a", Millis(200)), [addr(1, 2)]);
 }
 
@@ -73,8 +73,8 @@
 #[test]
 fn zones_come_first() {
     let mut members = members();
-    members.hear(beat(2, "a", 1), Millis(100));
-    members.hear(beat(3, "b", 1), Millis(100));
+    members.merge(beat(2, "a", 1), Millis(100));
+    members.merge(beat(3, "b", 1), Millis(100));
     assert_eq!(answer(&members, "a", Millis(200)), [addr(1, 2), addr(2, 2)]);
     assert_eq!(answer(&members, "b", Millis(200)).len(), 3);
 }
@@ -83,7 +83,7 @@
 #[test]
 fn newer_catalogs_are_found() {
     let mut members = members();
-    members.hear(beat(2, "a", 7), Millis(100));
+    members.merge(beat(2, "a", 7), Millis(100));
     let newer = |than| members.newer_catalog(CatalogVersion(than), Millis(200));
     assert_eq!(newer(6), Some(addr(2, 1)));
     assert_eq!(newer(7), None);
@@ -95,20 +95,20 @@
     let mut members = members();
     for host in 2..200 {
         let zone = ["a", "b", "c"][usize::from(host) % 3];
-        members.hear(beat(host, zone, 1), Millis(100));
+        members.merge(beat(host, zone, 1), Millis(100));
     }
-    assert!(members.targets(Millis(200)).len() <= 16);
-    let beats = members.beat(status(1), Millis(200));
+    assert!(members.gossip_targets(Millis(200)).len() <= 16);
+    let beats = members.next_heartbeats(status(1), Millis(200));
     assert!(beats.len() <= 17, "{}", beats.len());
 }
 
-fn reading(host: u8, zone: &str, count: u64) -> Beat {
+fn reading(host: u8, zone: &str, count: u64) -> Heartbeat {
     let status = Status {
-        follows: true,
-        fleet: FleetDigest(count),
+        reads_store: true,
+        table: TableDigest(count),
         ..status(1)
     };
-    Beat {
+    Heartbeat {
         status,
         ..beat(host, zone, count)
     }
@@ -118,11 +118,11 @@
 #[test]
 fn two_of_zone_read() {
     let readers = (1..=20).filter(|host| {
-        let mut members = Members::new(reading(*host, "a", 0));
+        let mut members = Membership::new(reading(*host, "a", 0));
         for other in (1..=20).filter(|o| o != host) {
-            members.hear(reading(other, "a", 1), Millis(100));
+            members.merge(reading(other, "a", 1), Millis(100));
         }
-        members.reads_store(Millis(200))
+        members.is_zone_reader(Millis(200))
     });
     assert_eq!(readers.count(), 2);
 }
@@ -133,11 +133,11 @@
     let zones = ["a", "b", "c", "d", "e"];
     let zone = |host: u8| zones[usize::from(host) % zones.len()];
     let readers = (1..=20).filter(|host| {
-        let mut members = Members::new(reading(*host, zone(*host), 0));
+        let mut members = Membership::new(reading(*host, zone(*host), 0));
         for other in (1..=20).filter(|o| o != host) {
-            members.hear(reading(other, zone(other), 1), Millis(100));
+            members.merge(reading(other, zone(other), 1), Millis(100));
         }
-        members.reads_store(Millis(200))
+        members.is_zone_reader(Millis(200))
     });
     assert_eq!(readers.count(), zones.len());
 }
@@ -148,12 +148,15 @@
 fn agents_tell_all_entries_while_nobody_reads() {
     let mut members = members();
     for host in 2..20 {
-        members.hear(beat(host, "a", 1), Millis(100));
+        members.merge(beat(host, "a", 1), Millis(100));
     }
     assert!(members.readers(Millis(200)).is_empty());
-    assert_eq!(members.told("a", Millis(200)).len(), 19);
-    members.hear(reading(2, "a", 2), Millis(200));
-    assert_eq!(members.told("a", Millis(300)), members.readers(Millis(300)));
+    assert_eq!(members.notify_targets("a", Millis(200)).len(), 19);
+    members.merge(reading(2, "a", 2), Millis(200));
+    assert_eq!(
+        members.notify_targets("a", Millis(300)),
+        members.readers(Millis(300))
+    );
 }
 
 /// Guards against an entry that relies on others which no longer get answers from the store, or fell silent.
@@ -161,27 +164,27 @@
 fn lost_readers_are_replaced() {
     let mut members = members();
     for host in 2..20 {
-        members.hear(reading(host, "a", 1), Millis(100));
+        members.merge(reading(host, "a", 1), Millis(100));
     }
-    assert!(members.reader(Millis(200)).is_some());
+    assert!(members.zone_reader(Millis(200)).is_some());
     // All fall silent.
-    assert!(members.reads_store(Millis(1000)));
-    assert!(members.reader(Millis(1000)).is_none());
+    assert!(members.is_zone_reader(Millis(1000)));
+    assert!(members.zone_reader(Millis(1000)).is_none());
     // They beat again, but the store does not answer them.
     for host in 2..20 {
-        members.hear(beat(host, "a", 2), Millis(1100));
+        members.merge(beat(host, "a", 2), Millis(1100));
     }
-    assert!(members.reads_store(Millis(1200)));
+    assert!(members.is_zone_reader(Millis(1200)));
 }
 
 /// Guards against an entry that asks one that does not answer again and again.
 #[test]
 fn silent_reader_is_passed_over() {
     let mut members = members();
-    members.hear(reading(2, "a", 1), Millis(100));
-    members.hear(reading(3, "b", 1), Millis(100));
-    let peer = |m: &Members| m.reader(Millis(200)).map(|b| b.peer);
+    members.merge(reading(2, "a", 1), Millis(100));
+    members.merge(reading(3, "b", 1), Millis(100));
+    let peer = |m: &Membership| m.zone_reader(Millis(200)).map(|b| b.peer);
     assert_eq!(peer(&members), Some(addr(2, 1)), "the own zone comes first");
-    members.distrust(addr(2, 1), Millis(150));
+    members.back_off(addr(2, 1), Millis(150));
     assert_eq!(peer(&members), Some(addr(3, 1)));
 }
--- a/tests/gateway_support/mod.rs
+++ b/tests/gateway_support/mod.rs
@@ -16,7 +16,7 @@
 use sesamewing::{
     base::{HashMap, Millis},
     gateway::{
-        Catalog, Decode, EndpointRecord, Intent, Record, RecordStore, Records, Revision,
+        Catalog, Decode, EndpointRecord, OperatorRecord, Record, RecordStore, Records, Revision,
         StoreError, Topic, WeightVersion,
     },
 };
@@ -75,15 +75,15 @@
 pub struct TestDecode;
 
 impl Decode for TestDecode {
-    fn operator_record(key: &[u8], value: &[u8]) -> Result<Option<Intent>, String> {
+    fn operator_record(key: &[u8], value: &[u8]) -> Result<Option<OperatorRecord>, String> {
         if key == b"config" {
             let catalog = Self::catalog(value)?;
-            return Ok(Some(Intent::Catalog(Box::new(catalog))));
+            return Ok(Some(OperatorRecord::Catalog(Box::new(catalog))));
         }
         let text = std::str::from_utf8(value).map_err(|e| e.to_string())?;
         let version = text.parse().map_err(|_| "no version".to_owned())?;
         let model = String::from_utf8_lossy(key).into_owned();
-        Ok(Some(Intent::Weights(model.into(), version)))
+        Ok(Some(OperatorRecord::Weights(model.into(), version)))
     }
 
     fn catalog(_: &[u8]) -> Result<Catalog, String> {
