--- a/tests/catalog_packed.rs
+++ b/tests/catalog_packed.rs
@@ -1,10 +1,10 @@
-//! Compressed catalogs that entries pass on.
+//! Compression of the catalogs that entries transfer to each other.
 
 use sesamewing::gateway::{compress, decompress};
 
-/// Guards against large catalogs that fill the links of a zone whenever one route changes.
+/// Guards against catalogs so large that their transfer fills the links of a zone whenever one route changes.
 #[test]
-fn routes_shrink() {
+fn routes_are_compressed() {
     let route = |n: u32| {
         format!(
             r#"{{"name":"route-{n}","host":"h{}.example","path_prefix":"/p{n}/"}}"#,
@@ -13,20 +13,23 @@
     };
     let routes: Vec<_> = (0..1500).map(route).collect();
     let raw = format!("[{}]", routes.join(","));
-    let packed = compress(raw.as_bytes()).expect("memory can be written");
+    let compressed = compress(raw.as_bytes()).expect("memory can be written");
     assert!(
-        packed.len() < raw.len() / 5,
+        compressed.len() < raw.len() / 5,
         "{} of {}",
-        packed.len(),
+        compressed.len(),
         raw.len()
     );
-    assert_eq!(decompress(&packed).expect("what was packed"), raw);
+    assert_eq!(
+        decompress(&compressed).expect("the compressed data is complete"),
+        raw
+    );
 }
 
-/// Guards against an entry that puts a damaged catalog in force.
+/// Guards against an entry that puts a truncated or malformed catalog in force.
 #[test]
-fn damaged_data_is_refused() {
-    let packed = compress(&[7; 4000]).expect("memory can be written");
-    assert!(decompress(&packed[..packed.len() / 2]).is_err());
+fn damaged_data_is_rejected() {
+    let compressed = compress(&[7; 4000]).expect("memory can be written");
+    assert!(decompress(&compressed[..compressed.len() / 2]).is_err());
     assert!(decompress(b"catalog").is_err());
 }
--- a/tests/gateway_balance.rs
+++ b/tests/gateway_balance.rs
@@ -1,4 +1,4 @@
-//! Load patterns of the gateway: where requests go and when they are refused.
+//! Load balancing at one entry: which endpoint gets a request under each load pattern, and when requests are rejected.
 
 use std::rc::Rc;
 
@@ -24,9 +24,9 @@
     format!("e{i}").parse().expect("any text is an id")
 }
 
-/// A fleet of engines with version 1, in zones `a` and `b` by turns.
-fn fleet(count: usize) -> EndpointTable {
-    let mut fleet = EndpointTable::default();
+/// Returns a table of engines that have version 1 loaded, alternately in zones `a` and `b`.
+fn table(count: usize) -> EndpointTable {
+    let mut table = EndpointTable::default();
     for i in 0..count {
         let record = EndpointRecord {
             service: "llm".parse().expect("a valid name"),
@@ -38,12 +38,12 @@
             models: vec![(Rc::from(MODEL), WeightVersion(1))],
             revision: Revision::default(),
         };
-        fleet.apply(&name(i), Some(record), NOW);
+        table.apply(&name(i), Some(record), NOW);
     }
-    fleet
+    table
 }
 
-fn ask<'a>(zone: &'a Zone, homes: &'a HashSet<EndpointId>) -> EndpointQuery<'a> {
+fn query<'a>(zone: &'a Zone, owned: &'a HashSet<EndpointId>) -> EndpointQuery<'a> {
     EndpointQuery {
         zone,
         weights: Some(WeightRequirement {
@@ -54,48 +54,48 @@
         }),
         exact: None,
         tried: &[],
-        owned: homes,
+        owned,
         read_rate: None,
         retrying: false,
         duration: Millis(1000),
     }
 }
 
-/// The same request that must begin on a version or a newer one.
-fn beginning_at<'a>(plain: &EndpointQuery<'a>, oldest: WeightVersion) -> EndpointQuery<'a> {
-    let wanted = plain.weights.expect("a model is asked for");
+/// Returns the query of the same request with an oldest version on which it may begin.
+fn with_oldest<'a>(plain: &EndpointQuery<'a>, oldest: WeightVersion) -> EndpointQuery<'a> {
+    let required = plain.weights.expect("the query names a model");
     EndpointQuery {
-        weights: Some(WeightRequirement { oldest, ..wanted }),
+        weights: Some(WeightRequirement { oldest, ..required }),
         ..plain.clone()
     }
 }
 
-fn all(fleet: &EndpointTable) -> impl Iterator<Item = &Endpoint> {
-    fleet.iter()
+fn all(table: &EndpointTable) -> impl Iterator<Item = &Endpoint> {
+    table.iter()
 }
 
-/// Sends requests until one is refused; returns their number.
+/// Sends requests until one is rejected; returns the number sent and the rejection.
 fn fill(
-    balance: &mut LoadBalancer,
-    fleet: &EndpointTable,
-    ask: &EndpointQuery<'_>,
+    balancer: &mut LoadBalancer,
+    table: &EndpointTable,
+    query: &EndpointQuery<'_>,
 ) -> (u32, Refusal) {
     for sent in 0..1000 {
-        match balance.pick(all(fleet), ask, NOW) {
-            Ok(e) => balance.begin(&e.id.clone(), 0, NOW),
+        match balancer.pick(all(table), query, NOW) {
+            Ok(e) => balancer.begin(&e.id.clone(), 0, NOW),
             Err(refusal) => return (sent, refusal),
         }
     }
-    panic!("no request was refused");
+    panic!("no request was rejected");
 }
 
 /// Pattern: more requests than can be served in time. Guards against queues in which all requests become late, and
 /// against refusals while slots are free.
 #[test]
-fn overload_is_refused_beyond_the_slots() {
-    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(4), zone("a"));
+fn overload_is_rejected_beyond_the_slots() {
+    let (mut balancer, table, own_zone) = (LoadBalancer::default(), table(4), zone("a"));
     let none = HashSet::default();
-    let (sent, refusal) = fill(&mut balance, &fleet, &ask(&home, &none));
+    let (sent, refusal) = fill(&mut balancer, &table, &query(&own_zone, &none));
     assert_eq!(sent, 4 * SLOTS);
     let Refusal::Overloaded(retry) = refusal else {
         panic!("{refusal:?}");
@@ -103,128 +103,134 @@
     assert!(retry > Millis(100) && retry < Millis(2000), "{retry}");
 }
 
-/// Pattern: steady load. Guards against a zone's traffic that crosses to other zones while its own has room.
+/// Pattern: steady load. Guards against requests that are sent to another zone while endpoints of the own zone have
+/// free slots.
 #[test]
 fn light_load_stays_in_the_zone() {
-    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(4), zone("a"));
+    let (mut balancer, table, own_zone) = (LoadBalancer::default(), table(4), zone("a"));
     let none = HashSet::default();
     let near = (0..100).filter(|_| {
-        let e = balance.pick(all(&fleet), &ask(&home, &none), NOW);
-        e.is_ok_and(|e| e.record.zone == home)
+        let e = balancer.pick(all(&table), &query(&own_zone, &none), NOW);
+        e.is_ok_and(|e| e.record.zone == own_zone)
     });
     assert!(near.count() > 80);
 }
 
-/// Pattern: an endpoint turns requests away. Guards against a second request to an endpoint that just refused one, and
-/// against an endpoint that stays avoided after it said that it takes requests again.
+/// Pattern: an endpoint rejects requests. Guards against a second request to an endpoint that has just rejected one,
+/// and against a backoff that goes on after the endpoint reported that it takes requests again.
 #[test]
-fn refusing_endpoints_are_passed_over() {
-    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(1), zone("a"));
+fn rejecting_endpoints_are_skipped() {
+    let (mut balancer, table, own_zone) = (LoadBalancer::default(), table(1), zone("a"));
     let none = HashSet::default();
     let e = name(0);
-    balance.begin(&e, 0, NOW);
-    balance.end(&e, Outcome::Refused, NOW);
-    let pick = |b: &mut LoadBalancer, now| b.pick(all(&fleet), &ask(&home, &none), now).is_ok();
-    assert!(!pick(&mut balance, NOW + Millis(50)));
-    assert!(pick(&mut balance, NOW + Millis(1000)));
-    balance.begin(&e, 0, NOW);
-    balance.end(&e, Outcome::Refused, NOW);
-    balance.clear_backoff(&e);
-    assert!(pick(&mut balance, NOW + Millis(1)));
+    balancer.begin(&e, 0, NOW);
+    balancer.end(&e, Outcome::Refused, NOW);
+    let pick =
+        |b: &mut LoadBalancer, now| b.pick(all(&table), &query(&own_zone, &none), now).is_ok();
+    assert!(!pick(&mut balancer, NOW + Millis(50)));
+    assert!(pick(&mut balancer, NOW + Millis(1000)));
+    balancer.begin(&e, 0, NOW);
+    balancer.end(&e, Outcome::Refused, NOW);
+    balancer.clear_backoff(&e);
+    assert!(pick(&mut balancer, NOW + Millis(1)));
 }
 
-/// Pattern: an endpoint fails part of its requests. Guards against a grey endpoint that keeps its share of traffic.
+/// Pattern: an endpoint fails part of its requests. Guards against such an endpoint keeping its share.
 #[test]
 fn failing_endpoints_lose_traffic() {
-    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(3), zone("a"));
+    let (mut balancer, table, own_zone) = (LoadBalancer::default(), table(3), zone("a"));
     let none = HashSet::default();
-    let grey = name(0);
+    let failing = name(0);
     for i in 0..20 {
-        balance.begin(&grey, 0, NOW);
+        balancer.begin(&failing, 0, NOW);
         let outcome = if i % 2 == 0 {
             Outcome::Failed
         } else {
             Outcome::Served
         };
-        balance.end(&grey, outcome, NOW);
+        balancer.end(&failing, outcome, NOW);
     }
     let hits = (0..100).filter(|_| {
-        let e = balance.pick(all(&fleet), &ask(&home, &none), NOW);
-        e.is_ok_and(|e| e.id == grey)
+        let e = balancer.pick(all(&table), &query(&own_zone, &none), NOW);
+        e.is_ok_and(|e| e.id == failing)
     });
     assert!(hits.count() < 10);
 }
 
-/// Guards against requests that begin on a version that must no longer begin, and against streams that continue on
-/// another version than they began on.
+/// Guards against requests that begin on a version older than the enforced one, and against streams that continue on
+/// a version other than the one they began on.
 #[test]
-fn versions_bind() {
-    let (mut balance, fleet, home) = (LoadBalancer::default(), fleet(2), zone("a"));
+fn enforced_and_exact_versions_are_required() {
+    let (mut balancer, table, own_zone) = (LoadBalancer::default(), table(2), zone("a"));
     let none = HashSet::default();
-    let plain = ask(&home, &none);
-    let newer = beginning_at(&plain, WeightVersion(2));
-    let refused = balance.pick(all(&fleet), &newer, NOW);
+    let plain = query(&own_zone, &none);
+    let newer = with_oldest(&plain, WeightVersion(2));
+    let refused = balancer.pick(all(&table), &newer, NOW);
     assert!(matches!(refused, Err(Refusal::Unavailable(_))));
-    // A response shows the new version before the record does.
+    // A response reports the new version before the record in the store does.
     let loaded = name(1);
-    balance.begin(&loaded, 0, NOW);
-    balance.report(&loaded, None, Some(WeightVersion(2)), NOW);
-    let found = balance.pick(all(&fleet), &newer, NOW).map(|e| e.id.clone());
+    balancer.begin(&loaded, 0, NOW);
+    balancer.report(&loaded, None, Some(WeightVersion(2)), NOW);
+    let found = balancer
+        .pick(all(&table), &newer, NOW)
+        .map(|e| e.id.clone());
     assert_eq!(found, Ok(loaded));
     let exact = EndpointQuery {
         exact: Some(WeightVersion(1)),
         ..plain
     };
-    let found = balance.pick(all(&fleet), &exact, NOW).map(|e| e.id.clone());
+    let found = balancer
+        .pick(all(&table), &exact, NOW)
+        .map(|e| e.id.clone());
     assert_eq!(found, Ok(name(0)));
 }
 
-/// A fleet in which a version is named, and the turns of its hosts.
+/// A table of endpoints, desired versions and the load schedule of the hosts.
 struct Rollout {
-    fleet: EndpointTable,
-    named: DesiredVersions,
-    turns: LoadSchedule,
+    table: EndpointTable,
+    desired: DesiredVersions,
+    schedule: LoadSchedule,
 }
 
 impl Rollout {
-    /// Names versions some time apart.
+    /// Makes each of `versions` the desired one at its time.
     fn new(hosts: usize, versions: &[(u64, Millis)]) -> Self {
-        let fleet = fleet(hosts);
-        let mut named = DesiredVersions::default();
+        let table = table(hosts);
+        let mut desired = DesiredVersions::default();
         for (version, at) in versions {
-            named.set(WeightVersion(*version), *at);
+            desired.set(WeightVersion(*version), *at);
         }
         let all: Vec<_> = versions.iter().map(|v| WeightVersion(v.0)).collect();
         let service = "llm".parse().expect("a valid name");
-        let turns = LoadSchedule::new(&fleet, &service, &all, None);
+        let schedule = LoadSchedule::new(&table, &service, &all, None);
         Self {
-            fleet,
-            named,
-            turns,
+            table,
+            desired,
+            schedule,
         }
     }
 
-    fn turn(&self, e: &Endpoint) -> Millis {
-        let turn = self
-            .turns
-            .load_start(e, WeightVersion(1), &self.named, BOUND);
-        turn.expect("the endpoint has yet to load")
+    fn load_start(&self, e: &Endpoint) -> Millis {
+        let load_start = self
+            .schedule
+            .load_start(e, WeightVersion(1), &self.desired, BOUND);
+        load_start.expect("the endpoint has a newer version to load")
     }
 
-    /// The endpoints in the order of their turns.
-    fn order(&self) -> Vec<&Endpoint> {
-        let mut order: Vec<_> = self.fleet.iter().collect();
-        order.sort_by_key(|e| self.turn(e));
-        order
+    /// Returns the endpoints in the order of their scheduled load starts.
+    fn by_load_start(&self) -> Vec<&Endpoint> {
+        let mut by_load_start: Vec<_> = self.table.iter().collect();
+        by_load_start.sort_by_key(|e| self.load_start(e));
+        by_load_start
     }
 
-    fn ask<'a>(&'a self, plain: EndpointQuery<'a>, duration: Millis) -> EndpointQuery<'a> {
+    fn query<'a>(&'a self, plain: EndpointQuery<'a>, duration: Millis) -> EndpointQuery<'a> {
         EndpointQuery {
             weights: Some(WeightRequirement {
                 model: MODEL,
                 pending: Some(PendingLoads {
-                    schedule: &self.turns,
-                    desired: &self.named,
+                    schedule: &self.schedule,
+                    desired: &self.desired,
                     bound: BOUND,
                 }),
                 oldest: WeightVersion(0),
@@ -236,20 +242,20 @@
     }
 }
 
-/// Pattern: a new version is named. Guards against long requests at an endpoint whose turn to load is near: it would
-/// stand still with empty slots until the last of them ends.
+/// Pattern: a new version becomes desired. Guards against long requests at an endpoint that is about to load: it would
+/// drain with empty slots until the last of them ends.
 #[test]
 fn long_requests_avoid_endpoints_that_load_soon() {
-    let (home, none) = (zone("a"), HashSet::default());
+    let (own_zone, none) = (zone("a"), HashSet::default());
     let rollout = Rollout::new(8, &[(2, NOW)]);
-    let order = rollout.order();
-    let (first, last) = (order[0], order[7]);
-    let now = Millis(rollout.turn(first).0 - 200);
-    let mut balance = LoadBalancer::default();
+    let by_load_start = rollout.by_load_start();
+    let (first, last) = (by_load_start[0], by_load_start[7]);
+    let now = Millis(rollout.load_start(first).0 - 200);
+    let mut balancer = LoadBalancer::default();
     let mut pick = |duration| {
-        let ask = rollout.ask(ask(&home, &none), duration);
+        let query = rollout.query(query(&own_zone, &none), duration);
         let two = [first, last].into_iter();
-        balance.pick(two, &ask, now).map(|e| e.id.clone())
+        balancer.pick(two, &query, now).map(|e| e.id.clone())
     };
     assert!((0..20).all(|_| pick(Millis(1000)).as_ref() == Ok(&last.id)));
     let short_hits = (0..40).filter(|_| pick(Millis(50)).as_ref() == Ok(&first.id));
@@ -257,86 +263,86 @@
     assert!(short_hits.count() > 0 || !same_zone);
 }
 
-/// Pattern: a new version is named while endpoints are loaded to their limit. Guards against a long request that goes to
-/// an endpoint whose turn is near because the others are full.
+/// Pattern: a new version becomes desired while endpoints have no free slots. Guards against a long request that goes
+/// to an endpoint that is about to load because the others are full.
 #[test]
 fn full_endpoints_do_not_delay_loads() {
-    let (home, none) = (zone("a"), HashSet::default());
+    let (own_zone, none) = (zone("a"), HashSet::default());
     let rollout = Rollout::new(2, &[(2, NOW)]);
-    let order = rollout.order();
-    let now = Millis(rollout.turn(order[0]).0 - 200);
-    let mut balance = LoadBalancer::default();
+    let by_load_start = rollout.by_load_start();
+    let now = Millis(rollout.load_start(by_load_start[0]).0 - 200);
+    let mut balancer = LoadBalancer::default();
     for _ in 0..SLOTS {
-        balance.begin(&order[1].id, 0, now);
+        balancer.begin(&by_load_start[1].id, 0, now);
     }
-    let long = rollout.ask(ask(&home, &none), Millis(3000));
-    let refused = balance.pick(rollout.fleet.iter(), &long, now);
+    let long = rollout.query(query(&own_zone, &none), Millis(3000));
+    let refused = balancer.pick(rollout.table.iter(), &long, now);
     assert!(matches!(refused, Err(Refusal::Overloaded(_))));
 }
 
-/// Pattern: copies of a new version are late, because the origin is away. Guards against endpoints that get no long
-/// requests although none of them can load.
+/// Pattern: copies of a new version are late, because the origin does not respond. Guards against endpoints that get no
+/// long requests although none of them can load.
 #[test]
 fn stalled_rollouts_keep_endpoints_in_use() {
-    let (home, none) = (zone("a"), HashSet::default());
+    let (own_zone, none) = (zone("a"), HashSet::default());
     let rollout = Rollout::new(4, &[(2, NOW)]);
-    let order = rollout.order();
-    let now = rollout.turn(order[1]) + Millis(900);
-    let mut balance = LoadBalancer::default();
-    let long = rollout.ask(ask(&home, &none), Millis(4000));
-    let near = [order[2], order[3]];
-    assert!(balance.pick(near.into_iter(), &long, now).is_err());
+    let by_load_start = rollout.by_load_start();
+    let now = rollout.load_start(by_load_start[1]) + Millis(900);
+    let mut balancer = LoadBalancer::default();
+    let long = rollout.query(query(&own_zone, &none), Millis(4000));
+    let near = [by_load_start[2], by_load_start[3]];
+    assert!(balancer.pick(near.into_iter(), &long, now).is_err());
     for _ in 0..4 * SLOTS {
-        let e = balance.pick(rollout.fleet.iter(), &long, now);
+        let e = balancer.pick(rollout.table.iter(), &long, now);
         let id = e
-            .expect("a stalled rollout takes no endpoint away")
+            .expect("a stalled rollout leaves all endpoints in use")
             .id
             .clone();
-        balance.begin(&id, 0, now);
+        balancer.begin(&id, 0, now);
     }
 }
 
-/// Pattern: a third version is named while hosts wait to load the second. Guards against turns that are foreseen in the
-/// order of the third.
+/// Pattern: a third version becomes desired while hosts wait to load the second. Guards against load starts computed
+/// from the host order of the third version.
 #[test]
-fn turns_follow_the_version_that_is_next() {
+fn load_starts_follow_the_next_version() {
     let both = Rollout::new(8, &[(2, NOW), (3, NOW + Millis(2000))]);
     let second = Rollout::new(8, &[(2, NOW)]);
-    for e in both.fleet.iter() {
-        assert_eq!(both.turn(e), second.turn(e));
+    for e in both.table.iter() {
+        assert_eq!(both.load_start(e), second.load_start(e));
     }
 }
 
-/// Pattern: all endpoints are too old, because copies of a new version are late. Guards against callers that return, for
-/// the last time, before any endpoint can have loaded.
+/// Pattern: all endpoints are too old, because copies of a new version are late. Guards against a `Retry-After` so
+/// short that callers make their last retry before any endpoint can have loaded.
 #[test]
-fn callers_return_when_loads_may_be_done() {
-    let (home, none) = (zone("a"), HashSet::default());
-    let plain = ask(&home, &none);
-    let newer = beginning_at(&plain, WeightVersion(2));
-    let mean_wait = |fleet: &EndpointTable| {
-        let mut balance = LoadBalancer::default();
-        let waits = (0..100).map(|_| match balance.pick(all(fleet), &newer, NOW) {
+fn retry_after_covers_loads_in_progress() {
+    let (own_zone, none) = (zone("a"), HashSet::default());
+    let plain = query(&own_zone, &none);
+    let newer = with_oldest(&plain, WeightVersion(2));
+    let mean_wait = |table: &EndpointTable| {
+        let mut balancer = LoadBalancer::default();
+        let waits = (0..100).map(|_| match balancer.pick(all(table), &newer, NOW) {
             Err(Refusal::Unavailable(wait)) => wait.0,
             other => panic!("{other:?}"),
         });
         waits.sum::<u64>() / 100
     };
-    let mut loading = fleet(2);
+    let mut loading = table(2);
     let mut record = loading.get(&name(0)).expect("a record").record.clone();
     record.models.clear();
     record.revision.sequence = 1;
     loading.apply(&name(0), Some(record), NOW);
-    assert!(mean_wait(&loading) + 400 < mean_wait(&fleet(2)));
+    assert!(mean_wait(&loading) + 400 < mean_wait(&table(2)));
 }
 
-/// Pattern: a new version is named, and a request would outlast the turns of all endpoints. Guards against a caller that
-/// is asked to return at no sensible time.
+/// Pattern: a new version becomes desired, and a request would run past the load starts of all endpoints. Guards
+/// against a missing or excessive `Retry-After`.
 #[test]
-fn refused_long_requests_return_soon() {
-    let (home, none) = (zone("a"), HashSet::default());
+fn rejected_long_requests_get_a_short_retry_after() {
+    let (own_zone, none) = (zone("a"), HashSet::default());
     let rollout = Rollout::new(2, &[(2, NOW)]);
-    let long = rollout.ask(ask(&home, &none), Millis(60_000));
-    let refused = LoadBalancer::default().pick(rollout.fleet.iter(), &long, NOW);
+    let long = rollout.query(query(&own_zone, &none), Millis(60_000));
+    let refused = LoadBalancer::default().pick(rollout.table.iter(), &long, NOW);
     assert!(matches!(refused, Err(Refusal::Overloaded(t)) if t < Millis(1000)));
 }
--- a/tests/gateway_catalog.rs
+++ b/tests/gateway_catalog.rs
@@ -1,4 +1,4 @@
-//! Routes: host, longest prefix, split traffic.
+//! Catalog: routes by host and longest path prefix, and traffic splits.
 
 use sesamewing::{
     base::Millis,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Guards against a request that a shorter prefix or another host takes.
+/// Guards against a request that gets the route of a shorter prefix or of another host.
 #[test]
 fn longest_prefix_of_the_host_wins() {
     let mut catalog = Catalog::default();
@@ -38,7 +38,7 @@
     assert_eq!(found("two.example", "/a/"), None);
 }
 
-/// Guards against a split that sends everything to one service.
+/// Guards against a traffic split that sends all requests to one service.
 #[test]
 fn split_follows_the_weights() {
     let split = route("/", &[("big", 90), ("small", 10)]);
--- a/tests/gateway_fleet.rs
+++ b/tests/gateway_fleet.rs
@@ -1,4 +1,4 @@
-//! Endpoints from records: order of records, outages of the store, removal in doubt.
+//! Endpoint table: order of records, outages of the store, tentative removals, and replication between entries.
 
 use sesamewing::{
     base::{HashSet, Millis},
@@ -25,55 +25,55 @@
     }
 }
 
-/// Guards against a delayed write that brings back what an endpoint said before.
+/// Guards against a delayed write of an older record that replaces a newer one.
 #[test]
 fn older_records_are_stale() {
-    let (mut fleet, e) = (EndpointTable::default(), id("e"));
+    let (mut table, e) = (EndpointTable::default(), id("e"));
     let now = Millis(1000);
-    assert_eq!(fleet.apply(&e, Some(record(10, 5)), now), Change::Added);
+    assert_eq!(table.apply(&e, Some(record(10, 5)), now), Change::Added);
     let draining = EndpointRecord {
         draining: true,
         ..record(10, 6)
     };
-    assert_eq!(fleet.apply(&e, Some(draining), now), Change::Updated);
-    assert_eq!(fleet.apply(&e, Some(record(10, 5)), now), Change::Stale);
-    assert!(fleet.get(&e).is_some_and(|e| e.record.draining));
+    assert_eq!(table.apply(&e, Some(draining), now), Change::Updated);
+    assert_eq!(table.apply(&e, Some(record(10, 5)), now), Change::Stale);
+    assert!(table.get(&e).is_some_and(|e| e.record.draining));
     let restarted = record(20, 1);
-    assert_eq!(fleet.apply(&e, Some(restarted), now), Change::Updated);
-    assert_eq!(fleet.apply(&e, Some(record(20, 2)), now), Change::Renewed);
+    assert_eq!(table.apply(&e, Some(restarted), now), Change::Updated);
+    assert_eq!(table.apply(&e, Some(record(20, 2)), now), Change::Renewed);
 }
 
-/// Guards against an endpoint that left and gets requests again because of a record that was written late.
+/// Guards against a removed endpoint that a late older record restores.
 #[test]
-fn removed_endpoints_stay_away() {
-    let (mut fleet, e) = (EndpointTable::default(), id("e"));
-    fleet.apply(&e, Some(record(10, 5)), Millis(0));
-    assert_eq!(fleet.apply(&e, None, Millis(10)), Change::Removed);
+fn removed_endpoints_are_not_restored() {
+    let (mut table, e) = (EndpointTable::default(), id("e"));
+    table.apply(&e, Some(record(10, 5)), Millis(0));
+    assert_eq!(table.apply(&e, None, Millis(10)), Change::Removed);
     assert_eq!(
-        fleet.apply(&e, Some(record(10, 5)), Millis(20)),
+        table.apply(&e, Some(record(10, 5)), Millis(20)),
         Change::Stale
     );
     assert_eq!(
-        fleet.apply(&e, Some(record(10, 6)), Millis(30)),
+        table.apply(&e, Some(record(10, 6)), Millis(30)),
         Change::Added
     );
 }
 
-/// Guards against an empty table after an outage of the store in which all records expired.
+/// Guards against an empty table after an outage of the store during which all records expired.
 #[test]
-fn outage_leaves_time_to_renew() {
-    let (mut fleet, live, dead) = (EndpointTable::default(), id("live"), id("dead"));
-    fleet.apply(&live, Some(record(10, 1)), Millis(0));
-    fleet.apply(&dead, Some(record(10, 1)), Millis(0));
+fn outage_makes_removals_tentative() {
+    let (mut table, live, dead) = (EndpointTable::default(), id("live"), id("dead"));
+    table.apply(&live, Some(record(10, 1)), Millis(0));
+    table.apply(&dead, Some(record(10, 1)), Millis(0));
     let back = Millis(9000);
-    fleet.store_recovered(back);
-    let missing = fleet.retain_present(&HashSet::default(), back);
+    table.store_recovered(back);
+    let missing = table.retain_present(&HashSet::default(), back);
     assert_eq!(missing.len(), 2);
-    assert_eq!(fleet.iter().count(), 2, "both may still renew");
-    fleet.apply(&live, Some(record(10, 9)), back + Millis(1500));
-    assert!(fleet.expire(back + Millis(1600)).is_empty());
-    assert_eq!(fleet.expire(back + RENEWAL), vec![dead]);
-    assert!(fleet.get(&live).is_some());
+    assert_eq!(table.iter().count(), 2, "both may still renew");
+    table.apply(&live, Some(record(10, 9)), back + Millis(1500));
+    assert!(table.expire(back + Millis(1600)).is_empty());
+    assert_eq!(table.expire(back + RENEWAL), vec![dead]);
+    assert!(table.get(&live).is_some());
 }
 
 fn loaded(sequence: u64, version: Option<u64>) -> EndpointRecord {
@@ -84,7 +84,7 @@
     }
 }
 
-fn news(born: u64, version: Option<u64>) -> EndpointUpdate {
+fn update(born: u64, version: Option<u64>) -> EndpointUpdate {
     let record = loaded(0, version);
     EndpointUpdate {
         addr: record.addr,
@@ -93,88 +93,91 @@
     }
 }
 
-fn version(fleet: &EndpointTable) -> Option<WeightVersion> {
-    fleet.get(&id("e"))?.weights("m")
+fn version(table: &EndpointTable) -> Option<WeightVersion> {
+    table.get(&id("e"))?.weights("m")
 }
 
-/// Guards against entries whose table differs from that of the entry that reads the store for them.
+/// Guards against entries whose table differs from that of the zone reader from which they replicate it.
 #[test]
-fn changes_are_mirrored() {
+fn changes_are_replicated() {
     let now = Millis(0);
-    let (mut fleet, mut copy) = (EndpointTable::default(), EndpointTable::default());
+    let (mut table, mut copy) = (EndpointTable::default(), EndpointTable::default());
     for (name, born) in [("a", 1), ("b", 2), ("c", 3)] {
-        fleet.apply(&id(name), Some(record(born, 1)), now);
+        table.apply(&id(name), Some(record(born, 1)), now);
     }
-    let whole = fleet.delta_since(None);
-    let count = whole.count;
-    assert_eq!(copy.apply_delta(whole, now).len(), 3);
-    assert_eq!(copy.digest(), fleet.digest());
-    fleet.apply(&id("a"), None, now);
-    fleet.apply(&id("b"), Some(record(2, 2)), now);
+    let full = table.delta_since(None);
+    let count = full.count;
+    assert_eq!(copy.apply_delta(full, now).len(), 3);
+    assert_eq!(copy.digest(), table.digest());
+    table.apply(&id("a"), None, now);
+    table.apply(&id("b"), Some(record(2, 2)), now);
     assert_eq!(
-        copy.apply_delta(fleet.delta_since(Some(count)), now).len(),
+        copy.apply_delta(table.delta_since(Some(count)), now).len(),
         1
     );
-    fleet.apply(&id("d"), Some(record(4, 1)), now);
-    let later = fleet.delta_since(Some(fleet.delta_since(None).count - 1));
+    table.apply(&id("d"), Some(record(4, 1)), now);
+    let later = table.delta_since(Some(table.delta_since(None).count - 1));
     assert_eq!((later.records.len(), later.removed.len()), (1, 0));
     copy.apply_delta(later, now);
-    assert_eq!(copy.digest(), fleet.digest());
-    // Another entry's whole table replaces everything.
+    assert_eq!(copy.digest(), table.digest());
+    // The full table of another entry replaces everything.
     let other = EndpointTable::default().delta_since(None);
     assert_eq!(copy.apply_delta(other, now).len(), 3);
 }
 
 /// Guards against requests to an endpoint that drains for a load although its record does not say so yet, and against
-/// an endpoint that stands idle after its load until the record is read.
+/// an endpoint that stays idle after its load until its new record is read.
 #[test]
-fn agents_are_faster_than_records() {
-    let mut fleet = EndpointTable::default();
-    fleet.apply(&id("e"), Some(loaded(1, Some(1))), Millis(0));
-    assert!(fleet.apply_update(&news(10, None), Millis(100)).is_some());
-    // The record still names the version until the drain ends.
-    fleet.apply(&id("e"), Some(loaded(2, Some(1))), Millis(600));
-    assert_eq!(version(&fleet), None);
-    assert!(fleet
-        .apply_update(&news(10, Some(2)), Millis(1500))
+fn agent_updates_override_older_records() {
+    let mut table = EndpointTable::default();
+    table.apply(&id("e"), Some(loaded(1, Some(1))), Millis(0));
+    assert!(table.apply_update(&update(10, None), Millis(100)).is_some());
+    // The record lists the old version until the drain ends.
+    table.apply(&id("e"), Some(loaded(2, Some(1))), Millis(600));
+    assert_eq!(version(&table), None);
+    assert!(table
+        .apply_update(&update(10, Some(2)), Millis(1500))
         .is_some());
-    assert_eq!(version(&fleet), Some(WeightVersion(2)));
-    fleet.apply(&id("e"), Some(loaded(3, None)), Millis(1600));
-    assert_eq!(version(&fleet), Some(WeightVersion(2)));
-    fleet.apply(&id("e"), Some(loaded(4, Some(2))), Millis(1700));
-    assert_eq!(version(&fleet), Some(WeightVersion(2)));
+    assert_eq!(version(&table), Some(WeightVersion(2)));
+    table.apply(&id("e"), Some(loaded(3, None)), Millis(1600));
+    assert_eq!(version(&table), Some(WeightVersion(2)));
+    table.apply(&id("e"), Some(loaded(4, Some(2))), Millis(1700));
+    assert_eq!(version(&table), Some(WeightVersion(2)));
 }
 
-/// Guards against an endpoint that stays unused because its agent ended after it said that a load begins.
+/// Guards against an endpoint that gets no requests because its agent stopped after reporting the begin of a load.
 #[test]
-fn silent_agent_is_outlived() {
-    let mut fleet = EndpointTable::default();
-    fleet.apply(&id("e"), Some(loaded(1, Some(1))), Millis(0));
-    fleet.apply_update(&news(10, None), Millis(100));
-    fleet.apply(&id("e"), Some(loaded(2, Some(1))), Millis(9000));
-    assert_eq!(version(&fleet), Some(WeightVersion(1)));
-    // News of an earlier run of the endpoint says nothing.
-    assert!(fleet.apply_update(&news(9, None), Millis(9100)).is_none());
+fn updates_of_a_stopped_agent_expire() {
+    let mut table = EndpointTable::default();
+    table.apply(&id("e"), Some(loaded(1, Some(1))), Millis(0));
+    table.apply_update(&update(10, None), Millis(100));
+    table.apply(&id("e"), Some(loaded(2, Some(1))), Millis(9000));
+    assert_eq!(version(&table), Some(WeightVersion(1)));
+    // An update about an earlier run of the endpoint is ignored.
+    assert!(table.apply_update(&update(9, None), Millis(9100)).is_none());
 }
 
-/// Guards against a record from before the endpoint's word that makes it usable again, and against a restarted endpoint
-/// that stays left out.
+/// Guards against a record from before the endpoint announced its leaving that undoes this, and against a restarted
+/// endpoint that stays marked as draining.
 #[test]
 fn records_do_not_undo_leaving() {
     let id = id("e");
     let now = Millis(1000);
-    let (mut fleet, mut other) = (EndpointTable::default(), EndpointTable::default());
-    fleet.apply(&id, Some(record(1, 1)), now);
+    let (mut table, mut other) = (EndpointTable::default(), EndpointTable::default());
+    table.apply(&id, Some(record(1, 1)), now);
     other.apply(&id, Some(record(1, 1)), now);
-    assert!(fleet.mark_leaving(&id, now));
-    assert!(!fleet.mark_leaving(&id, now), "once is enough");
+    assert!(table.mark_leaving(&id, now));
+    assert!(
+        !table.mark_leaving(&id, now),
+        "the second announcement changes nothing"
+    );
     let draining = |f: &EndpointTable| f.get(&id).is_some_and(|e| e.record.draining);
-    fleet.apply(&id, Some(record(1, 2)), now);
-    assert!(draining(&fleet));
-    // Other entries learn it from a datagram.
-    let told = other.merge_leaving(&fleet.leaving(now), now);
-    assert!(told.len() == 1 && told[0] == id);
+    table.apply(&id, Some(record(1, 2)), now);
+    assert!(draining(&table));
+    // Another entry marks it from the gossip of the first one.
+    let marked = other.merge_leaving(&table.leaving(now), now);
+    assert!(marked.len() == 1 && marked[0] == id);
     assert!(draining(&other));
-    fleet.apply(&id, Some(record(2, 1)), now);
-    assert!(!draining(&fleet));
+    table.apply(&id, Some(record(2, 1)), now);
+    assert!(!draining(&table));
 }
--- a/tests/gateway_homes.rs
+++ b/tests/gateway_homes.rs
@@ -1,4 +1,4 @@
-//! Endpoints divided among entries, and what an entry knows of the prompts that its own endpoints have yet to read.
+//! Ownership of endpoints, and the choice between owned and other endpoints.
 
 use std::net::SocketAddr;
 
@@ -24,9 +24,9 @@
     }
 }
 
-/// A fleet with some endpoints in each of some zones.
-fn fleet(zones: &[(&str, usize)]) -> EndpointTable {
-    let mut fleet = EndpointTable::default();
+/// Returns a table with a number of endpoints in each zone.
+fn table(zones: &[(&str, usize)]) -> EndpointTable {
+    let mut table = EndpointTable::default();
     for (name, count) in zones {
         for i in 0..*count {
             let record = EndpointRecord {
@@ -40,16 +40,16 @@
                 revision: Revision::default(),
             };
             let id: EndpointId = format!("{name}{i}").parse().expect("any text is an id");
-            fleet.apply(&id, Some(record), NOW);
+            table.apply(&id, Some(record), NOW);
         }
     }
-    fleet
+    table
 }
 
-/// Guards against endpoints with two homes or none while all entries have the same view, and against uneven shares.
+/// Guards against endpoints with two owners or none while all entries have the same view, and against uneven shares.
 #[test]
-fn each_endpoint_has_one_home() {
-    let fleet = fleet(&[("a", 23), ("b", 10), ("c", 4)]);
+fn each_endpoint_has_one_owner() {
+    let table = table(&[("a", 23), ("b", 10), ("c", 4)]);
     let entries = [
         entry(1, "a"),
         entry(2, "a"),
@@ -59,11 +59,11 @@
     ];
     let all: Vec<_> = entries
         .iter()
-        .map(|e| owned_endpoints(&fleet, &entries, e.peer))
+        .map(|e| owned_endpoints(&table, &entries, e.peer))
         .collect();
     let mut seen = HashSet::default();
     for id in all.iter().flatten() {
-        assert!(seen.insert(id.clone()), "{id} has two homes");
+        assert!(seen.insert(id.clone()), "{id} has two owners");
     }
     let far = seen.iter().filter(|id| id.0.starts_with('c')).count();
     // The four endpoints of the zone without entries are fewer than the five entries.
@@ -72,77 +72,81 @@
     assert!(all[3..].iter().all(|h| h.len() == 5));
 }
 
-/// Guards against endpoints that keep a lost entry as their home.
+/// Guards against endpoints that stay owned by a failed entry.
 #[test]
-fn lost_entries_have_no_homes() {
-    let fleet = fleet(&[("a", 12)]);
+fn failed_entries_own_nothing() {
+    let table = table(&[("a", 12)]);
     let entries = [entry(1, "a"), entry(3, "a")];
-    assert!(owned_endpoints(&fleet, &entries, entry(2, "a").peer).is_empty());
+    assert!(owned_endpoints(&table, &entries, entry(2, "a").peer).is_empty());
     let sum: usize = entries
         .iter()
-        .map(|e| owned_endpoints(&fleet, &entries, e.peer).len())
+        .map(|e| owned_endpoints(&table, &entries, e.peer).len())
         .sum();
     assert_eq!(sum, 12);
 }
 
-fn ask<'a>(zone: &'a Zone, homes: &'a HashSet<EndpointId>) -> EndpointQuery<'a> {
+fn query<'a>(zone: &'a Zone, owned: &'a HashSet<EndpointId>) -> EndpointQuery<'a> {
     EndpointQuery {
         zone,
         weights: None,
         exact: None,
         tried: &[],
-        owned: homes,
+        owned,
         read_rate: Some(20.0),
         retrying: false,
         duration: Millis(1000),
     }
 }
 
-/// Pattern: steady load. Guards against requests to endpoints whose load other entries know better.
+/// Pattern: steady load. Guards against requests to endpoints that other entries own and know the load of better.
 #[test]
-fn steady_load_stays_at_home() {
-    let (fleet, home) = (fleet(&[("a", 12)]), zone("a"));
+fn steady_load_stays_on_owned_endpoints() {
+    let (table, own_zone) = (table(&[("a", 12)]), zone("a"));
     let entries = [entry(1, "a"), entry(2, "a"), entry(3, "a")];
-    let mine = owned_endpoints(&fleet, &entries, entries[0].peer);
-    let mut balance = LoadBalancer::default();
+    let owned = owned_endpoints(&table, &entries, entries[0].peer);
+    let mut balancer = LoadBalancer::default();
     for _ in 0..8 {
-        let e = balance.pick(fleet.iter(), &ask(&home, &mine), NOW);
+        let e = balancer.pick(table.iter(), &query(&own_zone, &owned), NOW);
         let id = e.expect("an endpoint has room").id.clone();
-        assert!(mine.contains(&id), "{id}");
-        balance.begin(&id, 0, NOW);
+        assert!(owned.contains(&id), "{id}");
+        balancer.begin(&id, 0, NOW);
     }
 }
 
-/// Pattern: one entry gets more than its share. Guards against requests that wait at home while others have room.
+/// Pattern: one entry gets more than its share. Guards against requests that wait at owned endpoints while others have
+/// free slots.
 #[test]
-fn excess_load_goes_elsewhere() {
-    let (fleet, home) = (fleet(&[("a", 12)]), zone("a"));
+fn excess_load_goes_to_other_endpoints() {
+    let (table, own_zone) = (table(&[("a", 12)]), zone("a"));
     let entries = [entry(1, "a"), entry(2, "a"), entry(3, "a")];
-    let mine = owned_endpoints(&fleet, &entries, entries[0].peer);
-    let mut balance = LoadBalancer::default();
-    let mut away = 0;
+    let owned = owned_endpoints(&table, &entries, entries[0].peer);
+    let mut balancer = LoadBalancer::default();
+    let mut not_owned = 0;
     for _ in 0..12 * SLOTS {
-        let e = balance.pick(fleet.iter(), &ask(&home, &mine), NOW);
+        let e = balancer.pick(table.iter(), &query(&own_zone, &owned), NOW);
         let id = e.expect("an endpoint has room").id.clone();
-        away += u32::from(!mine.contains(&id));
-        balance.begin(&id, 0, NOW);
+        not_owned += u32::from(!owned.contains(&id));
+        balancer.begin(&id, 0, NOW);
     }
-    assert!(away > 6 * SLOTS, "{away} elsewhere");
+    assert!(
+        not_owned > 6 * SLOTS,
+        "{not_owned} sent to endpoints of other entries"
+    );
 }
 
 /// Pattern: long prompts that come close together. Guards against a prompt that waits behind another one while an
 /// endpoint with as many requests has read all of its prompts.
 #[test]
-fn unread_prompts_are_passed_over() {
-    let (fleet, home) = (fleet(&[("a", 2)]), zone("a"));
-    let mine: HashSet<_> = fleet.iter().map(|e| e.id.clone()).collect();
-    let mut balance = LoadBalancer::default();
-    let ids: Vec<_> = mine.iter().cloned().collect();
-    balance.begin(&ids[0], 3000, NOW);
-    balance.begin(&ids[1], 3000, NOW);
-    balance.prompt_read(&ids[1], 3000);
+fn endpoints_with_unread_prompts_are_avoided() {
+    let (table, own_zone) = (table(&[("a", 2)]), zone("a"));
+    let owned: HashSet<_> = table.iter().map(|e| e.id.clone()).collect();
+    let mut balancer = LoadBalancer::default();
+    let ids: Vec<_> = owned.iter().cloned().collect();
+    balancer.begin(&ids[0], 3000, NOW);
+    balancer.begin(&ids[1], 3000, NOW);
+    balancer.prompt_read(&ids[1], 3000);
     for _ in 0..10 {
-        let e = balance.pick(fleet.iter(), &ask(&home, &mine), NOW);
+        let e = balancer.pick(table.iter(), &query(&own_zone, &owned), NOW);
         assert_eq!(e.map(|e| e.id.clone()), Ok(ids[1].clone()));
     }
 }
