--- a/examples/lease_and_claim.rs
+++ b/examples/lease_and_claim.rs
@@ -47,15 +47,15 @@
             eyre::bail!("the lease is free, so the next step is to append");
         };
         // The term is counted from before the append is sent.
-        holder.sent(clock.now());
+        holder.append_sent(clock.now());
         log.append(clock.now(), &Record::new(Body::Lease(op)))?;
         clock.advance(Millis(5));
         read_back(&log, &mut kernel)?;
         holder.observe(clock.now(), kernel.leases().get("device"));
-        holder.settled();
+        holder.appends_settled();
         // The clock is checked immediately before each command; the token goes to the device with it.
         let token = holder
-            .may_command(clock.now())
+            .command_fence(clock.now())
             .ok_or_else(|| eyre::eyre!("the lease is held"))?;
         tokens.push(token.0);
         if let Some(op) = holder.release() {
--- a/src/agent/burst.rs
+++ b/src/agent/burst.rs
@@ -15,7 +15,7 @@
 use crate::{
     base::{lock, wall_ms, Clock, HashMap, Millis, Offset, ProcessName, Service},
     decide::{
-        burst::{Credits, Growth, Place, Rule, Stage},
+        burst::{AgentRank, CreditDrain, DrainStage, ReplicaScaler, ScalingRule},
         member::SUSPECT_AFTER,
     },
     emit,
@@ -86,8 +86,8 @@
     ctx: Context,
     board: Arc<Board>,
     service: Service,
-    growth: Arc<Mutex<Growth>>,
-    credits: Credits,
+    growth: Arc<Mutex<ReplicaScaler>>,
+    credits: CreditDrain,
     out: watch::Sender<Share>,
     tasks: JoinSet<()>,
     watches: HashMap<ProcessName, (SocketAddr, AbortHandle)>,
@@ -106,7 +106,7 @@
             board,
             service,
             growth: Arc::default(),
-            credits: Credits::default(),
+            credits: CreditDrain::default(),
             out,
             tasks: JoinSet::new(),
             watches: HashMap::default(),
@@ -136,10 +136,10 @@
         let live: Vec<_> = hosts.hosts.iter().filter(|h| self.is_live(h)).collect();
         let place = listed.then(|| {
             let names = live.iter().map(|h| h.name.clone());
-            Place::new(&self.service, &self.ctx.settings.name, names)
+            AgentRank::new(&self.service, &self.ctx.settings.name, names)
         });
         self.check_credits(&found.burst, place.as_ref());
-        let rule = Rule {
+        let rule = ScalingRule {
             replicas: found.burst.replicas,
             ceiling: found.burst.ceiling,
             seeds: found.burst.seeds,
@@ -149,7 +149,7 @@
         let held = self.board.view().endpoint.version;
         let now = self.ctx.clock.now();
         let verdict = lock(&self.growth).tick(now, place.as_ref(), &rule, held.as_ref());
-        if let (true, Some(version), Some(p)) = (verdict.grew, rule.version, &place) {
+        if let (true, Some(version), Some(p)) = (verdict.scaled_up, rule.version, &place) {
             let text = format!("rank {} loads version {version}", p.rank);
             emit!(BURST_GREW, "{text}");
             self.ctx.timeline.record(&BURST_GREW, version, text);
@@ -172,15 +172,15 @@
             && h.service.as_ref() == Some(&self.service)
     }
 
-    fn check_credits(&mut self, burst: &Burst, place: Option<&Place>) {
+    fn check_credits(&mut self, burst: &Burst, place: Option<&AgentRank>) {
         let ends = Millis::from_secs(u64::from(burst.ends));
         match self
             .credits
             .tick(Millis(wall_ms()), ends, burst.lead, place)
         {
-            Stage::Far => return self.board.clear(&CREDITS_END),
-            Stage::Announced => {}
-            Stage::Drain if self.ctx.phase() == Phase::Serving => {
+            DrainStage::Far => return self.board.clear(&CREDITS_END),
+            DrainStage::Announced => {}
+            DrainStage::Drain if self.ctx.phase() == Phase::Serving => {
                 let text = format!("credits end at Unix time {}", burst.ends);
                 emit!(CREDITS_DRAIN, "{text}");
                 self.ctx
@@ -188,7 +188,7 @@
                     .record(&CREDITS_DRAIN, Scope::default(), text);
                 self.ctx.advance(Phase::Draining);
             }
-            Stage::Drain => {}
+            DrainStage::Drain => {}
         }
         let (ends, lead) = (burst.ends, burst.lead);
         let start = u64::from(ends).saturating_sub(lead.0 / 1000);
@@ -217,7 +217,12 @@
 }
 
 /// Follows the reports of one agent until the task is aborted.
-async fn subscribe(ctx: Context, growth: Arc<Mutex<Growth>>, name: ProcessName, peer: SocketAddr) {
+async fn subscribe(
+    ctx: Context,
+    growth: Arc<Mutex<ReplicaScaler>>,
+    name: ProcessName,
+    peer: SocketAddr,
+) {
     let mut known = None;
     loop {
         let open = ctx.open(Call::Watch(WatchRequest { interval: INTERVAL }));
--- a/src/agent/lessee.rs
+++ b/src/agent/lessee.rs
@@ -51,13 +51,13 @@
     }
 
     async fn append(&mut self, op: LeaseOp) {
-        self.holder.sent(self.clock.now());
+        self.holder.append_sent(self.clock.now());
         let record = Record::new(Body::Lease(op));
         let result = append(&self.log, &self.replica, &record, APPEND_TIMEOUT).await;
         self.observe();
         match result {
             Ok(_) => {
-                self.holder.settled();
+                self.holder.appends_settled();
                 self.board.clear(&LEASE_WAIT);
             }
             Err(e) => self.board.raise(&LEASE_WAIT, &e.to_string()),
@@ -85,7 +85,7 @@
 
     /// Returns the token if a command may be sent now; call immediately before each command.
     pub fn may_command(&self) -> Option<Fence> {
-        self.holder.may_command(self.clock.now())
+        self.holder.command_fence(self.clock.now())
     }
 
     /// Renews the lease until `work` has ended.
--- a/src/decide/burst.rs
+++ b/src/decide/burst.rs
@@ -15,26 +15,26 @@
 };
 
 /// Time for which the agents ahead must be loaded before a further one starts; a shorter peak is queued instead.
-pub const SUSTAIN: Millis = Millis(2000);
+pub const SUSTAINED_LOAD: Millis = Millis(2000);
 
 /// Number of agents ahead that an agent watches at most.
-pub const AHEAD: usize = 2;
+pub const WATCHED_MAX: usize = 2;
 
 /// Number of hosts that stands for all hosts of a region; the largest value of the options that count hosts.
-pub const ALL: u32 = 100_000;
+pub const ALL_HOSTS: u32 = 100_000;
 
-/// Place of an agent among the live agents of its service in its region.
+/// AgentRank of an agent among the live agents of its service in its region.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct AgentRank {
     /// Rank; the first agent has rank 0.
     pub rank: usize,
     /// Live agents, this one included.
     pub live: usize,
-    /// The agents of the ranks before, nearest first; at most [`AHEAD`].
+    /// The agents of the ranks before, nearest first; at most [`WATCHED_MAX`].
     pub ahead: Vec<ProcessName>,
 }
 
-impl Place {
+impl AgentRank {
     /// Ranks an agent among the other live agents.
     pub fn new(
         service: &Service,
@@ -53,7 +53,7 @@
             .collect();
         before.sort();
         let rank = before.len();
-        let ahead = before.into_iter().rev().take(AHEAD).map(|(_, n)| n);
+        let ahead = before.into_iter().rev().take(WATCHED_MAX).map(|(_, n)| n);
         Self {
             rank,
             live,
@@ -81,7 +81,7 @@
 
 /// The options that a decision reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rule {
+pub struct ScalingRule {
     /// Hosts that always load the version.
     pub replicas: u32,
     /// Hosts that load the version at most.
@@ -96,20 +96,20 @@
 
 /// What the agent does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct CopyDecision {
     /// Whether the agent obtains and loads the version in the settings.
     pub load: bool,
     /// Whether the copy stays in memory after the endpoint confirmed the version.
     pub keep: bool,
     /// Whether load of the agents ahead caused the start, at this decision.
-    pub grew: bool,
-    /// Agents to watch; at most [`AHEAD`].
+    pub scaled_up: bool,
+    /// Agents to watch; at most [`WATCHED_MAX`].
     pub watch: Vec<ProcessName>,
 }
 
 /// Decides for one agent.
 #[derive(Clone, Debug, Default)]
-pub struct Growth {
+pub struct ReplicaScaler {
     reports: HashMap<ProcessName, (Millis, AgentReport)>,
     /// Load and version that the last decision looked for.
     wanted: Option<(Percent, VersionName)>,
@@ -121,7 +121,7 @@
     released: Option<VersionName>,
 }
 
-impl Growth {
+impl ReplicaScaler {
     /// Takes over a report of a watched agent.
     pub fn report(&mut self, now: Millis, report: AgentReport) {
         if let Some((threshold, version)) = &self.wanted {
@@ -136,20 +136,20 @@
     pub fn tick(
         &mut self,
         now: Millis,
-        place: Option<&Place>,
-        rule: &Rule,
+        place: Option<&AgentRank>,
+        rule: &ScalingRule,
         held: Option<&VersionName>,
-    ) -> Verdict {
+    ) -> CopyDecision {
         let fits = |limit: u32| match place {
             Some(p) => p.rank < limit as usize,
             // Without a rank only a limit that admits every host is known to admit this one.
-            None => limit >= ALL,
+            None => limit >= ALL_HOSTS,
         };
         let (base, limit, seed) = (fits(rule.replicas), fits(rule.ceiling), fits(rule.seeds));
         self.started |= held.is_some();
         let waits = limit && !base && !self.started && place.is_some();
-        let grew = self.grows(now, place.filter(|_| waits), rule);
-        self.started |= grew;
+        let scaled_up = self.grows(now, place.filter(|_| waits), rule);
+        self.started |= scaled_up;
         let confirmed = held.filter(|h| rule.version.as_ref() == Some(*h));
         let covered = || {
             let (Some(p), Some(v)) = (place, confirmed) else {
@@ -166,19 +166,19 @@
         }
         let releases = confirmed.is_some() && !seed && self.released.is_none();
         let watch = place
-            .filter(|_| (waits && !grew) || releases)
+            .filter(|_| (waits && !scaled_up) || releases)
             .map_or_else(Vec::new, |p| p.ahead.clone());
         self.reports.retain(|n, _| watch.contains(n));
-        Verdict {
+        CopyDecision {
             load: limit && (base || self.started),
             keep: self.released.is_none(),
-            grew,
+            scaled_up,
             watch,
         }
     }
 
-    /// Returns whether all agents ahead have been loaded for [`SUSTAIN`].
-    fn grows(&mut self, now: Millis, place: Option<&Place>, rule: &Rule) -> bool {
+    /// Returns whether all agents ahead have been loaded for [`SUSTAINED_LOAD`].
+    fn grows(&mut self, now: Millis, place: Option<&AgentRank>, rule: &ScalingRule) -> bool {
         let wanted = rule.version.clone().map(|v| (rule.threshold, v));
         if self.wanted != wanted {
             (self.wanted, self.since) = (wanted, None);
@@ -196,7 +196,7 @@
             self.since = None;
             return false;
         }
-        now - *self.since.get_or_insert(now) >= SUSTAIN
+        now - *self.since.get_or_insert(now) >= SUSTAINED_LOAD
     }
 
     /// Returns the last report of an agent unless it is late.
@@ -219,7 +219,7 @@
 
 /// Where an agent stands before the end of the credits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum DrainStage {
     /// No end is near.
     Far,
     /// The drain is near.
@@ -232,7 +232,7 @@
 ///
 /// Times are Unix times in milliseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Credits {
+pub struct CreditDrain {
     /// End and lead of `at`.
     term: (Millis, Millis),
     /// Start of this agent's drain. Fixed when the lead begins: ranks shift as earlier ones leave, and agents that
@@ -240,15 +240,15 @@
     at: Option<Millis>,
 }
 
-impl Credits {
+impl CreditDrain {
     /// Decides; `ends` is zero if the credits do not end.
     pub fn tick(
         &mut self,
         wall: Millis,
         ends: Millis,
         lead: Millis,
-        place: Option<&Place>,
-    ) -> Stage {
+        place: Option<&AgentRank>,
+    ) -> DrainStage {
         if self.term != (ends, lead) {
             *self = Self {
                 term: (ends, lead),
@@ -256,11 +256,11 @@
             };
         }
         if ends == Millis::ZERO || wall < ends - lead.times(2) {
-            return Stage::Far;
+            return DrainStage::Far;
         }
         let start = ends - lead;
         if wall < start {
-            return Stage::Announced;
+            return DrainStage::Announced;
         }
         if self.at.is_none() {
             self.at = place.map(|p| start + slot(p, lead));
@@ -268,14 +268,14 @@
         // An agent that the list does not have cannot know its rank and is the last to drain.
         let at = self.at.unwrap_or(start + Millis(lead.0 / 2));
         if wall >= at {
-            return Stage::Drain;
+            return DrainStage::Drain;
         }
-        Stage::Announced
+        DrainStage::Announced
     }
 }
 
 /// Spreads the drains evenly over the first half of the lead.
-fn slot(place: &Place, lead: Millis) -> Millis {
+fn slot(place: &AgentRank, lead: Millis) -> Millis {
     let part = u128::from(lead.0 / 2) * place.rank as u128 / place.live.max(1) as u128;
     Millis(part as u64)
 }
--- a/src/decide/chunk/config.rs
+++ b/src/decide/chunk/config.rs
@@ -11,27 +11,27 @@
     /// What a rollout saves.
     pub prefer: Prefer,
     /// Rate at which chunks may enter this region from the store's region; `None` is unlimited.
-    pub crossing: Option<Rate>,
+    pub cross_region: Option<Rate>,
     /// Size of a whole chunk.
     pub chunk: Size,
     /// Requests in flight to one peer. With 2, queues grow unevenly: the simulated time to 100 replicas was 1.32 times
     /// the bound instead of 1.23 (4 upload slots each).
-    pub depth: usize,
+    pub peer_requests: usize,
     /// Requests in flight to all peers; covers the time in which a peer serves its other slots.
-    pub flight: usize,
+    pub all_requests: usize,
     /// Requests in flight to the origin.
-    pub origin: usize,
+    pub origin_requests: usize,
     /// Chunks that leaders of all hosts may fetch from the origin at once. The origin shares its link between them, so
     /// a large window delays the first complete chunk, and a small one leaves the link idle until news has spread:
     /// simulated times to 200 replicas were 1.45 times the bound with 12, 1.11 with 24, 1.16 with 40.
-    pub window: usize,
+    pub seed_window: usize,
     /// Longest time that leaders wait at the start for the first reports of all neighbours, so that a host that joins
     /// late does not fetch from the origin what the others have.
-    pub grace: Millis,
+    pub report_wait: Millis,
     /// Time without progress after which the next rank takes over, and after which a request may be duplicated.
-    pub stall: Millis,
+    pub stall_timeout: Millis,
     /// Time for which a busy peer is not asked again.
-    pub busy: Millis,
+    pub busy_backoff: Millis,
     /// Time for which a peer that failed once is not asked again; doubles with each further failure.
     pub backoff: Millis,
     /// Longest time for which a failed source is not asked again.
@@ -50,15 +50,15 @@
         let chunk_ms = Millis(chunk.0.saturating_mul(1000) / down.0.max(1));
         Self {
             prefer,
-            crossing: None,
+            cross_region: None,
             chunk,
-            depth: 1,
-            flight: 8,
-            origin: 2,
-            window: 24,
-            grace: Millis(500),
-            stall: STALL_MIN.max(chunk_ms.times(32)),
-            busy: Millis((chunk_ms.0 / 2).clamp(5, 200)),
+            peer_requests: 1,
+            all_requests: 8,
+            origin_requests: 2,
+            seed_window: 24,
+            report_wait: Millis(500),
+            stall_timeout: STALL_MIN.max(chunk_ms.times(32)),
+            busy_backoff: Millis((chunk_ms.0 / 2).clamp(5, 200)),
             backoff: Millis(500),
             backoff_max: BACKOFF_MAX,
         }
--- a/src/decide/chunk/mod.rs
+++ b/src/decide/chunk/mod.rs
@@ -15,4 +15,4 @@
 pub use config::Config;
 pub use event::{Action, Event, Fault, Source, Waste};
 pub use scheduler::Scheduler;
-pub use topology::{Member, PeerId, Place, Topology};
+pub use topology::{Member, PeerId, Proximity, Topology};
--- a/src/decide/chunk/peer.rs
+++ b/src/decide/chunk/peer.rs
@@ -1,13 +1,13 @@
 //! What the scheduler knows about its neighbours.
 
-use super::{Bitmap, PeerId, Place, Source};
+use super::{Bitmap, PeerId, Proximity, Source};
 use crate::base::Millis;
 
 /// A neighbour.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) id: PeerId,
-    pub(super) place: Place,
+    pub(super) proximity: Proximity,
     pub(super) has: Bitmap,
     pub(super) flights: usize,
     /// Whether it reported its chunks, even if it has none.
@@ -18,10 +18,10 @@
 }
 
 impl Peer {
-    pub(super) fn new(id: PeerId, place: Place, chunks: u32, flights: usize) -> Self {
+    pub(super) fn new(id: PeerId, proximity: Proximity, chunks: u32, flights: usize) -> Self {
         Self {
             id,
-            place,
+            proximity,
             has: Bitmap::new(chunks),
             flights,
             reported: false,
--- a/src/decide/chunk/scheduler.rs
+++ b/src/decide/chunk/scheduler.rs
@@ -3,9 +3,9 @@
 use super::{
     event::{Action, Event, Fault, Source, Waste},
     peer::{Flight, Peer},
-    topology::{injection_order, CROSS_SOURCES},
+    topology::{seeding_order, CROSS_SOURCES},
     window::Window,
-    Bitmap, Config, PeerId, Place, Topology,
+    Bitmap, Config, PeerId, Proximity, Topology,
 };
 use crate::{
     base::{Digest, HashMap, HashSet, Millis},
@@ -73,7 +73,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let len = chunks.len();
         let mut out = Self {
-            window: Window::new(injection_order(&chunks), config.window),
+            window: Window::new(seeding_order(&chunks), config.seed_window),
             ties: (0..len).map(|_| rng.u32(..)).collect(),
             held: Bitmap::new(len as u32),
             peers: Vec::new(),
@@ -157,11 +157,11 @@
         }
         for id in wanted {
             let known = self.peer(id).is_some();
-            if let (false, Some(place)) = (known, self.topology.place(id)) {
+            if let (false, Some(proximity)) = (known, self.topology.proximity(id)) {
                 let from = Source::Peer(id);
                 let flights = self.flights.iter().filter(|f| f.from == from).count();
                 let len = self.chunks.len() as u32;
-                self.peers.push(Peer::new(id, place, len, flights));
+                self.peers.push(Peer::new(id, proximity, len, flights));
             }
         }
     }
@@ -274,7 +274,7 @@
             self.drop_peer(id);
             self.avoid(now, id);
         }
-        if self.topology.place(id).is_some_and(|p| !p.is_local()) {
+        if self.topology.proximity(id).is_some_and(|p| !p.is_local()) {
             let delay = match fault {
                 Fault::Busy | Fault::Missing => CROSS_RETRY,
                 Fault::Corrupt | Fault::Lost => self.config.backoff,
@@ -284,7 +284,7 @@
             }
             return;
         }
-        let (busy, backoff) = (self.config.busy, self.config.backoff);
+        let (busy, backoff) = (self.config.busy_backoff, self.config.backoff);
         let Some(peer) = self.peer(id) else {
             return;
         };
@@ -348,17 +348,17 @@
     fn poll_leader(&mut self, now: Millis, wake: &mut Millis) -> Option<(u32, Source)> {
         let outside = |f: &&Flight| match f.from {
             Source::Origin => true,
-            Source::Peer(id) => self.topology.place(id).is_some_and(|p| !p.is_local()),
+            Source::Peer(id) => self.topology.proximity(id).is_some_and(|p| !p.is_local()),
         };
-        if self.flights.iter().filter(outside).count() >= self.config.origin {
+        if self.flights.iter().filter(outside).count() >= self.config.origin_requests {
             return None;
         }
         let crosses = self
             .topology
             .members()
             .iter()
-            .any(|m| m.place == Place::Store);
-        let grace = *self.grace.get_or_insert(now + self.config.grace);
+            .any(|m| m.proximity == Proximity::Store);
+        let grace = *self.grace.get_or_insert(now + self.config.report_wait);
         if grace > now && !self.peers.iter().all(|p| p.reported) {
             *wake = grace.min(*wake);
             return None;
@@ -367,12 +367,12 @@
             *wake = self.origin.1.min(*wake);
             return None;
         }
-        if let (true, false, Some(rate)) = (crosses, self.paced, self.config.crossing) {
+        if let (true, false, Some(rate)) = (crosses, self.paced, self.config.cross_region) {
             self.window.pace(self.config.chunk, rate, now);
             self.paced = true;
         }
         let mut found = None;
-        for open in self.window.open(now, self.config.stall) {
+        for open in self.window.open(now, self.config.stall_timeout) {
             let chunk = open.chunk;
             if self.flights.iter().any(|f| f.chunk == chunk) {
                 continue;
@@ -419,14 +419,14 @@
 
     /// The rarest chunk that a neighbour can send.
     fn poll_peers(&mut self, now: Millis, wake: &mut Millis) -> Option<(u32, Source)> {
-        if self.flights.len() >= self.config.flight {
+        if self.flights.len() >= self.config.all_requests {
             return None;
         }
         let mut usable: Vec<usize> = Vec::with_capacity(self.peers.len());
         for (i, p) in self.peers.iter().enumerate() {
             if p.until > now {
                 *wake = p.until.min(*wake);
-            } else if p.flights < self.config.depth && p.has.count() > 0 {
+            } else if p.flights < self.config.peer_requests && p.has.count() > 0 {
                 usable.push(i);
             }
         }
@@ -459,18 +459,18 @@
             .iter()
             .map(|&i| &self.peers[i])
             .filter(|p| p.has.contains(chunk))
-            .min_by_key(|p| (p.place, p.flights, rng.u32(..)))
+            .min_by_key(|p| (p.proximity, p.flights, rng.u32(..)))
             .map(|p| Source::Peer(p.id))
     }
 
     /// A second source for a chunk whose fetch makes no progress, when nothing else is left to fetch.
     fn poll_stalled(&mut self, now: Millis, wake: &mut Millis) -> Option<(u32, Source)> {
-        if self.flights.len() >= self.config.flight {
+        if self.flights.len() >= self.config.all_requests {
             return None;
         }
         let mut late: Vec<Flight> = Vec::new();
         for f in &self.flights {
-            let at = f.since + self.config.stall;
+            let at = f.since + self.config.stall_timeout;
             if at > now {
                 *wake = at.min(*wake);
             } else if self.flights.iter().filter(|g| g.chunk == f.chunk).count() == 1 {
@@ -482,7 +482,9 @@
             let usable: Vec<usize> = (0..self.peers.len())
                 .filter(|&i| {
                     let p = &self.peers[i];
-                    p.until <= now && p.flights < self.config.depth && Source::Peer(p.id) != f.from
+                    p.until <= now
+                        && p.flights < self.config.peer_requests
+                        && Source::Peer(p.id) != f.from
                 })
                 .collect();
             if let Some(from) = self.nearest(&usable, f.chunk) {
--- a/src/decide/chunk/topology.rs
+++ b/src/decide/chunk/topology.rs
@@ -27,7 +27,7 @@
 
 /// Where a host is, seen from this one; nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Place {
+pub enum Proximity {
     /// In the same zone.
     Zone,
     /// In another zone of the same region.
@@ -38,7 +38,7 @@
     Remote,
 }
 
-impl Place {
+impl Proximity {
     /// Returns whether the host is in the same region.
     pub fn is_local(self) -> bool {
         matches!(self, Self::Zone | Self::Region)
@@ -51,7 +51,7 @@
     /// Identity.
     pub id: PeerId,
     /// Where it is.
-    pub place: Place,
+    pub proximity: Proximity,
 }
 
 /// Finaliser of the splitmix64 generator; spreads combined hashes evenly.
@@ -94,15 +94,15 @@
     }
 
     /// Returns the place of a host, or `None` if it is not in the list.
-    pub fn place(&self, id: PeerId) -> Option<Place> {
+    pub fn proximity(&self, id: PeerId) -> Option<Proximity> {
         let i = self.members.binary_search_by_key(&id, |m| m.id).ok()?;
-        Some(self.members[i].place)
+        Some(self.members[i].proximity)
     }
 
     fn local(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.members
             .iter()
-            .filter(|m| m.place.is_local())
+            .filter(|m| m.proximity.is_local())
             .map(|m| m.id)
     }
 
@@ -116,7 +116,10 @@
     /// Returns hosts of the store's region by rank; empty in the store's region.
     pub fn sources(&self, id: &Digest, count: usize) -> Vec<PeerId> {
         let key = key(id);
-        let store = self.members.iter().filter(|m| m.place == Place::Store);
+        let store = self
+            .members
+            .iter()
+            .filter(|m| m.proximity == Proximity::Store);
         let mut all: Vec<_> = store.map(|m| (score(m.id, key), m.id)).collect();
         all.sort_unstable();
         all.into_iter().take(count).map(|(_, id)| id).collect()
@@ -138,11 +141,11 @@
 
     /// Returns the peers to exchange with, at most 8, passing over those in `avoid`.
     pub fn neighbours(&self, manifest: &Digest, avoid: &HashSet<PeerId>) -> Vec<PeerId> {
-        let live = |m: &&Member| m.place.is_local() && !avoid.contains(&m.id);
+        let live = |m: &&Member| m.proximity.is_local() && !avoid.contains(&m.id);
         let region: Vec<_> = self.members.iter().filter(live).copied().collect();
         let zone: Vec<_> = region
             .iter()
-            .filter(|m| m.place == Place::Zone)
+            .filter(|m| m.proximity == Proximity::Zone)
             .copied()
             .collect();
         let mut out = Vec::new();
@@ -171,7 +174,7 @@
 }
 
 /// Order in which leaders bring chunks into the region; the same for all hosts.
-pub(super) fn injection_order(chunks: &[Digest]) -> Vec<u32> {
+pub(super) fn seeding_order(chunks: &[Digest]) -> Vec<u32> {
     let mut order: Vec<u32> = (0..chunks.len() as u32).collect();
     order.sort_by_key(|&i| mix(key(&chunks[i as usize])));
     order
--- a/src/decide/feed/snapshot.rs
+++ b/src/decide/feed/snapshot.rs
@@ -50,7 +50,7 @@
     /// Takes note of the newest snapshot, written at `time`; `newest` is 0 if there is none.
     ///
     /// Restarts the wait.
-    pub fn seen(&mut self, newest: Offset, time: Millis) {
+    pub fn record_snapshot(&mut self, newest: Offset, time: Millis) {
         self.newest = self.newest.max(newest);
         self.written = Some(self.written.map_or(time, |t| t.max(time)));
         self.since = None;
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -6,19 +6,19 @@
 };
 
 /// Term of a lease.
-pub const TERM: Millis = Millis(6000);
+pub const LEASE_TERM: Millis = Millis(6000);
 
 /// Time beyond the term after which the lease of another holder is expired.
 ///
 /// Covers a drift of 5% between the two clocks over the term and 200 ms for timer granularity.
-pub const MARGIN: Millis = Millis(500);
+pub const EXPIRY_MARGIN: Millis = Millis(500);
 
 /// What the holder does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Call [`LeaseHolder::sent`], append the operation, and observe its effect.
+    /// Call [`LeaseHolder::append_sent`], append the operation, and observe its effect.
     Append(LeaseOp),
-    /// The lease is held; commands may be sent after [`LeaseHolder::may_command`].
+    /// The lease is held; commands may be sent after [`LeaseHolder::command_fence`].
     Ready(Fence),
     /// Another process holds the lease; observe again within this time.
     Wait(Millis),
@@ -99,17 +99,17 @@
     }
 
     /// Takes note that an append is about to be sent.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn append_sent(&mut self, now: Millis) {
         self.unsettled.get_or_insert(now);
     }
 
     /// Takes note that the effect of all appends is known; call after [`LeaseHolder::observe`].
-    pub fn settled(&mut self) {
+    pub fn appends_settled(&mut self) {
         self.unsettled = None;
     }
 
     /// Returns the token if a command may be sent at `now`; call immediately before each command.
-    pub fn may_command(&self, now: Millis) -> Option<Fence> {
+    pub fn command_fence(&self, now: Millis) -> Option<Fence> {
         self.own.filter(|o| now < o.until).map(|o| o.fence)
     }
 
@@ -121,12 +121,12 @@
                 resource,
                 holder: self.holder.clone(),
                 instance: self.instance,
-                term: TERM,
+                term: LEASE_TERM,
             });
         };
         if let Some(own) = self.own {
             // Two thirds of the term remain for the append to succeed.
-            return if now + Millis(TERM.0 * 2 / 3) < own.until {
+            return if now + Millis(LEASE_TERM.0 * 2 / 3) < own.until {
                 LeaseStep::Ready(own.fence)
             } else {
                 LeaseStep::Append(LeaseOp::Renew {
@@ -135,7 +135,7 @@
                 })
             };
         }
-        let end = seen.at + seen.lease.term + MARGIN;
+        let end = seen.at + seen.lease.term + EXPIRY_MARGIN;
         if now < end {
             return LeaseStep::Wait(end - now);
         }
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -23,7 +23,7 @@
 
 /// Order of a host in the turns of a version; lower is earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TurnOrder {
+pub struct LoadOrder {
     /// Whether the host is in another availability zone than the origin.
     far: bool,
     /// Spreads the hosts of one zone, in another way for each version.
@@ -31,8 +31,8 @@
 }
 
 /// Returns the order of a host in the turns of a version.
-pub fn order(host: IpAddr, near: bool, version: u64) -> TurnOrder {
-    TurnOrder {
+pub fn load_order(host: IpAddr, near: bool, version: u64) -> LoadOrder {
+    LoadOrder {
         far: !near,
         draw: rendezvous(&version.to_le_bytes(), host.to_string().as_bytes()),
     }
@@ -40,7 +40,7 @@
 
 /// Turn of one host among those of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rollout {
+pub struct HostSchedule {
     /// Bound on the time for which requests may begin on the old version.
     pub bound: Millis,
     /// Position of this host, from 0.
@@ -49,7 +49,7 @@
     pub hosts: usize,
 }
 
-impl Rollout {
+impl HostSchedule {
     /// Returns when the host begins to load, if it holds the version then; `outdated` is the time at which a version
     /// newer than the loaded one was named.
     pub fn start(&self, outdated: Millis) -> Millis {
--- a/src/feed/writer.rs
+++ b/src/feed/writer.rs
@@ -51,12 +51,12 @@
         Some(newest) => newest,
         None => (Offset(0), first_time(log).await?),
     };
-    timer.seen(newest, time);
+    timer.record_snapshot(newest, time);
     if !timer.is_due(now, replica.applied(), retention) {
         return Ok(());
     }
     let applied = snapshot::write(log, replica).await?;
-    timer.seen(applied, Millis(wall_ms()));
+    timer.record_snapshot(applied, Millis(wall_ms()));
     Ok(())
 }
 
--- a/src/gateway/schedule.rs
+++ b/src/gateway/schedule.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     base::{HashMap, Millis, Service, Zone},
-    decide::rollout::{order, Rollout},
+    decide::rollout::{load_order, HostSchedule},
 };
 
 /// Positions of the hosts of one service in the load schedule of one version.
@@ -40,7 +40,10 @@
                 .of_service(service)
                 .map(|e| {
                     let near = Some(&e.record.zone) == origin;
-                    (order(e.record.addr.ip(), near, version.0), e.id.clone())
+                    (
+                        load_order(e.record.addr.ip(), near, version.0),
+                        e.id.clone(),
+                    )
                 })
                 .collect();
             hosts.sort_unstable();
@@ -76,7 +79,7 @@
     ) -> Option<Millis> {
         let since = desired.superseded_at(loaded)?;
         let next = self.versions.iter().find(|v| v.version > loaded)?;
-        let rollout = Rollout {
+        let rollout = HostSchedule {
             bound,
             rank: *next.ranks.get(&e.id)?,
             hosts: self.hosts,
--- a/src/staging/copy.rs
+++ b/src/staging/copy.rs
@@ -97,11 +97,11 @@
     let manifest = ctx.manifest.clone();
     let peers = ctx.peers.borrow().clone();
     let mut config = Config::new(Prefer::Origin, manifest.chunk, ctx.down);
-    config.stall = STALL_TIMEOUT;
-    config.grace = START_GRACE;
+    config.stall_timeout = STALL_TIMEOUT;
+    config.report_wait = START_GRACE;
     config.backoff = BACKOFF;
     config.backoff_max = BACKOFF_MAX;
-    config.window = ORIGIN_WINDOW;
+    config.seed_window = ORIGIN_WINDOW;
     let mut scheduler = Scheduler::new(
         config,
         version_id(&ctx.model, manifest.version),
--- a/src/staging/load.rs
+++ b/src/staging/load.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     base::Millis,
-    decide::rollout::Rollout,
+    decide::rollout::HostSchedule,
     emit,
     gateway::{Decode, RecordStore, WeightVersion},
 };
@@ -137,7 +137,7 @@
     /// Waits for this host's turn to load.
     async fn wait_for_start(&self, model: &str, manifest: &Manifest) {
         let (rank, hosts) = self.peers.borrow().load_rank(manifest.version);
-        let rollout = Rollout {
+        let rollout = HostSchedule {
             bound: self.settings.bound,
             rank,
             hosts,
--- a/src/staging/peers.rs
+++ b/src/staging/peers.rs
@@ -8,8 +8,8 @@
 use crate::{
     base::{Digest, HashMap, HashSet, Region, Zone},
     decide::{
-        chunk::{Member, PeerId, Place, Source, Topology},
-        rollout::order,
+        chunk::{Member, PeerId, Proximity, Source, Topology},
+        rollout::load_order,
     },
     gateway::WeightVersion,
 };
@@ -42,19 +42,19 @@
 }
 
 impl Location {
-    fn place(&self, zone: &Zone) -> Place {
+    fn place(&self, zone: &Zone) -> Proximity {
         let region = |z: &Zone| self.regions.get(z);
         if *zone == self.zone {
-            return Place::Zone;
+            return Proximity::Zone;
         }
         if region(zone) == region(&self.zone) {
-            return Place::Region;
+            return Proximity::Region;
         }
         let origin = self.origin.as_ref().and_then(region);
         if origin.is_some() && region(zone) == origin {
-            Place::Store
+            Proximity::Store
         } else {
-            Place::Remote
+            Proximity::Remote
         }
     }
 }
@@ -77,7 +77,7 @@
             }
             members.push(Member {
                 id,
-                place: location.place(zone),
+                proximity: location.place(zone),
             });
             addrs.insert(id, addr);
         }
@@ -93,7 +93,7 @@
     pub(super) fn is_local(&self, source: Source) -> bool {
         match source {
             Source::Origin => false,
-            Source::Peer(id) => self.topology.place(id).is_some_and(Place::is_local),
+            Source::Peer(id) => self.topology.proximity(id).is_some_and(Proximity::is_local),
         }
     }
 
@@ -109,7 +109,7 @@
             return Vec::new();
         };
         let members = self.topology.members().iter();
-        let local: Vec<_> = members.filter(|m| m.place.is_local()).collect();
+        let local: Vec<_> = members.filter(|m| m.proximity.is_local()).collect();
         let other = local.get(fastrand::usize(..local.len().max(1)));
         let sources = [Some(parent), other.map(|m| m.id)];
         let addrs = sources.into_iter().flatten().filter_map(|id| self.addr(id));
@@ -118,7 +118,7 @@
 
     /// Returns this host's position among all in the turns of a version, and their number.
     pub(super) fn load_rank(&self, version: WeightVersion) -> (usize, usize) {
-        let order = |host| order(host, self.near_origin.contains(&host), version.0);
+        let order = |host| load_order(host, self.near_origin.contains(&host), version.0);
         let mine = order(self.own_addr.ip());
         let others = self.addrs.values().filter(|a| a.ip() != self.own_addr.ip());
         let ahead = others.clone().filter(|a| order(a.ip()) < mine);
--- a/src/weights/copy.rs
+++ b/src/weights/copy.rs
@@ -114,7 +114,7 @@
         let peers = Arc::new(Peers::read(&shared.ctx));
         let weights = settings(&shared.ctx);
         let mut config = Config::new(weights.prefer, version.manifest.chunk, shared.down_rate());
-        config.crossing = Some(crossing(&weights)).filter(|r| *r > Rate(0));
+        config.cross_region = Some(crossing(&weights)).filter(|r| *r > Rate(0));
         let mut scheduler = Scheduler::new(
             config,
             version.id,
--- a/src/weights/counters.rs
+++ b/src/weights/counters.rs
@@ -4,7 +4,7 @@
 
 use prometheus_client::metrics::counter::Counter;
 
-use crate::{decide::chunk::Place, observe::Metrics};
+use crate::{decide::chunk::Proximity, observe::Metrics};
 
 /// Counts of one process; cheap to clone.
 #[derive(Clone, Debug, Default)]
@@ -100,11 +100,11 @@
         });
     }
 
-    pub(super) fn add_peer(&self, place: Place, bytes: usize) {
+    pub(super) fn add_peer(&self, place: Proximity, bytes: usize) {
         let counter = match place {
-            Place::Zone => &self.zone_bytes,
-            Place::Region => &self.region_bytes,
-            Place::Store | Place::Remote => &self.remote_bytes,
+            Proximity::Zone => &self.zone_bytes,
+            Proximity::Region => &self.region_bytes,
+            Proximity::Store | Proximity::Remote => &self.remote_bytes,
         };
         counter.inc_by(bytes as u64);
     }
--- a/src/weights/fetch.rs
+++ b/src/weights/fetch.rs
@@ -8,7 +8,7 @@
 use crate::{
     backing::{PlatformError, WeightStore},
     base::{Digest, Millis, Size},
-    decide::chunk::{Fault, Place, Source},
+    decide::chunk::{Fault, Proximity, Source},
     emit,
     net::NetError,
     wire::{Call, ChunkReply, ChunkRequest, PART_MAX},
@@ -66,7 +66,7 @@
             Source::Origin => self.fetch_origin(content).await,
             Source::Peer(id) => match peers.host(id) {
                 Some(host) => {
-                    let place = peers.topology.place(id).unwrap_or(Place::Remote);
+                    let place = peers.topology.proximity(id).unwrap_or(Proximity::Remote);
                     let result = self.fetch_peer(content, host.peer, place).await;
                     if let Err(Fault::Corrupt) = result {
                         emit!(PEER_CORRUPT, "{} sent {}", host.name, content.digest());
@@ -125,7 +125,7 @@
         &self,
         content: Content,
         addr: SocketAddr,
-        place: Place,
+        place: Proximity,
     ) -> Result<Bytes, Fault> {
         let lost = |e: NetError| {
             log::debug!("a fetch from {addr} failed: {e}");
--- a/src/weights/hosts.rs
+++ b/src/weights/hosts.rs
@@ -5,8 +5,8 @@
 use crate::{
     base::{HashMap, HashSet, ProcessName, Rate, Region, Service},
     decide::{
-        burst::{first_ranks, ALL},
-        chunk::{Member, PeerId, Place, Topology},
+        burst::{first_ranks, ALL_HOSTS},
+        chunk::{Member, PeerId, Proximity, Topology},
     },
     process::Context,
     settings::{InForce, Weights},
@@ -57,7 +57,7 @@
     let first = regions.into_iter().flat_map(|(region, agents)| {
         let replicas = settings
             .service(region, service)
-            .map_or(ALL, |s| s.burst.replicas);
+            .map_or(ALL_HOSTS, |s| s.burst.replicas);
         first_ranks(service, agents, replicas)
     });
     first.collect()
@@ -79,12 +79,15 @@
             }
             let id = PeerId::from(&host.name);
             let place = match &store {
-                _ if host.zone == own.zone && host.region == own.region => Place::Zone,
-                _ if host.region == own.region => Place::Region,
-                Some(region) if host.region == *region => Place::Store,
-                _ => Place::Remote,
+                _ if host.zone == own.zone && host.region == own.region => Proximity::Zone,
+                _ if host.region == own.region => Proximity::Region,
+                Some(region) if host.region == *region => Proximity::Store,
+                _ => Proximity::Remote,
             };
-            members.push(Member { id, place });
+            members.push(Member {
+                id,
+                proximity: place,
+            });
             by_id.insert(id, host.clone());
         }
         Self {
--- a/tests/burst_size.rs
+++ b/tests/burst_size.rs
@@ -17,7 +17,10 @@
 use sesamewing::{
     agent,
     base::{Instance, Millis, Offset, Percent, ProcessName, Service, VersionName},
-    decide::burst::{Credits, Growth, Place, Rule, Stage, Verdict, ALL, SUSTAIN},
+    decide::burst::{
+        AgentRank, CopyDecision, CreditDrain, DrainStage, ReplicaScaler, ScalingRule, ALL_HOSTS,
+        SUSTAINED_LOAD,
+    },
     net::TlsFiles,
     process::{Context, EndpointKind, Phase},
     settings::{Burst, Tree},
@@ -44,12 +47,12 @@
     all
 }
 
-fn place(own: &ProcessName, view: &[ProcessName]) -> Place {
-    Place::new(&service(), own, view.iter().cloned())
+fn place(own: &ProcessName, view: &[ProcessName]) -> AgentRank {
+    AgentRank::new(&service(), own, view.iter().cloned())
 }
 
-fn rule(replicas: u32, ceiling: u32, seeds: u32) -> Rule {
-    Rule {
+fn rule(replicas: u32, ceiling: u32, seeds: u32) -> ScalingRule {
+    ScalingRule {
         replicas,
         ceiling,
         seeds,
@@ -85,7 +88,13 @@
 }
 
 /// Reports of all agents ahead at `now`, then a decision of an agent without a version.
-fn step(g: &mut Growth, p: &Place, r: &Rule, now: u64, loads: &[u32]) -> Verdict {
+fn step(
+    g: &mut ReplicaScaler,
+    p: &AgentRank,
+    r: &ScalingRule,
+    now: u64,
+    loads: &[u32],
+) -> CopyDecision {
     for (agent, load) in p.ahead.iter().zip(loads) {
         g.report(Millis(now), report(agent, now, *load, Some(v1())));
     }
@@ -96,13 +105,16 @@
 #[test]
 fn defaults_load_and_keep_everywhere() {
     let b = Burst::default();
-    assert_eq!((b.replicas, b.ceiling, b.seeds), (ALL, ALL, ALL));
+    assert_eq!(
+        (b.replicas, b.ceiling, b.seeds),
+        (ALL_HOSTS, ALL_HOSTS, ALL_HOSTS)
+    );
     let r = rule(b.replicas, b.ceiling, b.seeds);
     let all = ranked(200);
     let last = place(&all[199], &all);
     for p in [None, Some(&last)] {
         for held in [None, Some(&v1())] {
-            let got = Growth::default().tick(Millis(0), p, &r, held);
+            let got = ReplicaScaler::default().tick(Millis(0), p, &r, held);
             assert!(got.load && got.keep && got.watch.is_empty(), "{got:?}");
         }
     }
@@ -111,17 +123,17 @@
 /// Guards against a host that loads because it does not know its rank yet.
 #[test]
 fn unlisted_agent_waits_for_its_rank() {
-    let got = Growth::default().tick(Millis(0), None, &rule(1, 3, ALL), None);
+    let got = ReplicaScaler::default().tick(Millis(0), None, &rule(1, 3, ALL_HOSTS), None);
     assert_eq!((got.load, got.watch.len()), (false, 0));
 }
 
 /// Guards against growth that skips ranks, passes the ceiling, or watches more than two agents.
 #[test]
 fn growth_is_a_chain_up_to_the_ceiling() {
-    let (all, r) = (ranked(8), rule(2, 5, ALL));
+    let (all, r) = (ranked(8), rule(2, 5, ALL_HOSTS));
     let mut agents: Vec<_> = all
         .iter()
-        .map(|a| (place(a, &all), Growth::default()))
+        .map(|a| (place(a, &all), ReplicaScaler::default()))
         .collect();
     let mut held = [false; 8];
     let mut order = Vec::new();
@@ -145,37 +157,37 @@
     let ranks: Vec<_> = order.iter().map(|(_, i)| *i).collect();
     assert_eq!(ranks, [0, 1, 2, 3, 4]);
     for pair in order[1..].windows(2) {
-        assert!(pair[1].0 - pair[0].0 >= SUSTAIN.0, "{order:?}");
+        assert!(pair[1].0 - pair[0].0 >= SUSTAINED_LOAD.0, "{order:?}");
     }
 }
 
 /// Guards against copies for short peaks, for one loaded agent of two, and for late or missing reports.
 #[test]
 fn only_sustained_load_of_both_starts_a_copy() {
-    let (all, r) = (ranked(4), rule(2, 4, ALL));
+    let (all, r) = (ranked(4), rule(2, 4, ALL_HOSTS));
     let p = place(&all[2], &all);
     assert_eq!(p.ahead, [all[1].clone(), all[0].clone()]);
-    let mut dip = Growth::default();
-    let mut one = Growth::default();
-    let mut steady = Growth::default();
-    for now in (0..=SUSTAIN.0).step_by(200) {
+    let mut dip = ReplicaScaler::default();
+    let mut one = ReplicaScaler::default();
+    let mut steady = ReplicaScaler::default();
+    for now in (0..=SUSTAINED_LOAD.0).step_by(200) {
         let loads = if now == 1000 { [7, 6] } else { [7, 7] };
         assert!(!step(&mut dip, &p, &r, now, &loads).load, "{now}");
         assert!(!step(&mut one, &p, &r, now, &[10, 0]).load, "{now}");
         let got = step(&mut steady, &p, &r, now, &[7, 7]);
-        assert_eq!(got.load, now == SUSTAIN.0, "{now}");
-        assert_eq!(got.grew, got.load);
+        assert_eq!(got.load, now == SUSTAINED_LOAD.0, "{now}");
+        assert_eq!(got.scaled_up, got.load);
     }
     // A dip between two decisions counts as well.
-    let mut between = Growth::default();
-    for now in (0..=SUSTAIN.0).step_by(200) {
-        assert!(!step(&mut between, &p, &r, now, &[7, 7]).load || now == SUSTAIN.0);
+    let mut between = ReplicaScaler::default();
+    for now in (0..=SUSTAINED_LOAD.0).step_by(200) {
+        assert!(!step(&mut between, &p, &r, now, &[7, 7]).load || now == SUSTAINED_LOAD.0);
         if now == 1800 {
             between.report(Millis(1900), report(&all[0], 1900, 0, Some(v1())));
         }
     }
     assert!(!between.tick(Millis(2100), Some(&p), &r, None).load);
-    let mut silent = Growth::default();
+    let mut silent = ReplicaScaler::default();
     step(&mut silent, &p, &r, 0, &[7, 7]);
     step(&mut silent, &p, &r, 200, &[7, 7]);
     assert!(!silent.tick(Millis(4000), Some(&p), &r, None).load);
@@ -184,24 +196,24 @@
 /// Guards against a started copy that is abandoned at the next dip, and a serving host that keeps an old version.
 #[test]
 fn started_host_goes_on_without_load() {
-    let (all, r) = (ranked(4), rule(1, 3, ALL));
+    let (all, r) = (ranked(4), rule(1, 3, ALL_HOSTS));
     let p = place(&all[1], &all);
-    let mut g = Growth::default();
-    for now in (0..=SUSTAIN.0).step_by(200) {
+    let mut g = ReplicaScaler::default();
+    for now in (0..=SUSTAINED_LOAD.0).step_by(200) {
         step(&mut g, &p, &r, now, &[7]);
     }
     let got = step(&mut g, &p, &r, 2200, &[0]);
-    assert!(got.load && !got.grew, "{got:?}");
-    let next = Rule {
+    assert!(got.load && !got.scaled_up, "{got:?}");
+    let next = ScalingRule {
         version: Some("v2".parse().expect("a name")),
         ..r.clone()
     };
     assert!(g.tick(Millis(9000), Some(&p), &next, Some(&v1())).load);
-    let restarted = Growth::default().tick(Millis(0), Some(&p), &next, Some(&v1()));
+    let restarted = ReplicaScaler::default().tick(Millis(0), Some(&p), &next, Some(&v1()));
     assert!(restarted.load, "the endpoint outlived the agent");
     let above = place(&all[3], &all);
     assert!(
-        !Growth::default()
+        !ReplicaScaler::default()
             .tick(Millis(0), Some(&above), &next, Some(&v1()))
             .load
     );
@@ -210,9 +222,9 @@
 /// Guards against an agent that counts predecessors that serve another version or whose load is unknown.
 #[test]
 fn other_versions_and_unknown_capacity_do_not_count() {
-    let (all, r) = (ranked(3), rule(1, 3, ALL));
+    let (all, r) = (ranked(3), rule(1, 3, ALL_HOSTS));
     let p = place(&all[1], &all);
-    let (mut old, mut blind) = (Growth::default(), Growth::default());
+    let (mut old, mut blind) = (ReplicaScaler::default(), ReplicaScaler::default());
     for now in (0..10_000).step_by(200) {
         let other = "v0".parse().expect("a name");
         old.report(Millis(now), report(&all[0], now, 10, Some(other)));
@@ -247,17 +259,18 @@
 /// Guards against copies given back while the hosts ahead lack the version, and seeds that do not take over.
 #[test]
 fn only_seeds_keep_the_copy() {
-    let (all, r) = (ranked(5), rule(ALL, ALL, 2));
+    let (all, r) = (ranked(5), rule(ALL_HOSTS, ALL_HOSTS, 2));
     let held = v1();
     let seed = place(&all[1], &all);
     assert!(
-        Growth::default()
+        ReplicaScaler::default()
             .tick(Millis(0), Some(&seed), &r, Some(&held))
             .keep
     );
     let p = place(&all[2], &all);
-    let mut g = Growth::default();
-    let tick = |g: &mut Growth, now, p: &Place, held| g.tick(Millis(now), Some(p), &r, held);
+    let mut g = ReplicaScaler::default();
+    let tick =
+        |g: &mut ReplicaScaler, now, p: &AgentRank, held| g.tick(Millis(now), Some(p), &r, held);
     assert!(tick(&mut g, 0, &p, None).keep, "not confirmed");
     let got = tick(&mut g, 200, &p, Some(&held));
     assert!(got.keep && got.watch == p.ahead, "{got:?}");
@@ -285,7 +298,7 @@
     let mut live = ranked(20);
     let mut agents: Vec<_> = live
         .iter()
-        .map(|a| (a.clone(), Credits::default()))
+        .map(|a| (a.clone(), CreditDrain::default()))
         .collect();
     let mut left = Vec::new();
     for now in (8_700_000..ends.0).step_by(1000) {
@@ -293,12 +306,12 @@
         agents.retain_mut(|(a, c)| {
             let stage = c.tick(Millis(now), ends, lead, Some(&place(a, &view)));
             let wanted = now >= ends.0 - 2 * lead.0;
-            assert_eq!(stage != Stage::Far, wanted, "{now}");
-            if stage == Stage::Drain {
+            assert_eq!(stage != DrainStage::Far, wanted, "{now}");
+            if stage == DrainStage::Drain {
                 left.push(now);
                 live.retain(|l| l != a);
             }
-            stage != Stage::Drain
+            stage != DrainStage::Drain
         });
     }
     let want: Vec<_> = (0..20).map(|i| 9_400_000 + i * 15_000).collect();
@@ -309,15 +322,24 @@
 #[test]
 fn credit_end_follows_the_settings() {
     let (ends, lead) = (Millis(10_000_000), Millis(600_000));
-    let mut c = Credits::default();
-    assert_eq!(c.tick(Millis::MAX, Millis::ZERO, lead, None), Stage::Far);
+    let mut c = CreditDrain::default();
+    assert_eq!(
+        c.tick(Millis::MAX, Millis::ZERO, lead, None),
+        DrainStage::Far
+    );
     assert_eq!(
         c.tick(Millis(9_699_999), ends, lead, None),
-        Stage::Announced
+        DrainStage::Announced
+    );
+    assert_eq!(
+        c.tick(Millis(9_700_000), ends, lead, None),
+        DrainStage::Drain
     );
-    assert_eq!(c.tick(Millis(9_700_000), ends, lead, None), Stage::Drain);
     let later = ends + lead.times(4);
-    assert_eq!(c.tick(Millis(9_700_000), later, lead, None), Stage::Far);
+    assert_eq!(
+        c.tick(Millis(9_700_000), later, lead, None),
+        DrainStage::Far
+    );
 }
 
 /// Guards against settings under which every host would leave at once.
@@ -403,7 +425,7 @@
     let call = client.call(Call::Run(request(Some("v1"), 3))).await;
     until("the second load", || engines[1].state().loads.len() == 1).await;
     assert!(
-        began.elapsed() >= Duration::from_millis(SUSTAIN.0),
+        began.elapsed() >= Duration::from_millis(SUSTAINED_LOAD.0),
         "{:?}",
         began.elapsed()
     );
--- a/tests/chunk_schedule/swarm.rs
+++ b/tests/chunk_schedule/swarm.rs
@@ -8,7 +8,7 @@
 use sesamewing::{
     base::{Digest, Millis, Rate, Size},
     decide::chunk::{
-        Action, Config, Event, Fault, Member, PeerId, Place, Scheduler, Source, Topology,
+        Action, Config, Event, Fault, Member, PeerId, Proximity, Scheduler, Source, Topology,
     },
     settings::Prefer,
 };
@@ -152,26 +152,26 @@
     Digest::of(format!("{seed} {chunk}").as_bytes())
 }
 
-fn place(own: Site, other: Site) -> Place {
+fn proximity(own: Site, other: Site) -> Proximity {
     match (own, other) {
-        _ if own == other => Place::Zone,
-        _ if own.0 == other.0 => Place::Region,
-        _ if other.0 == 0 => Place::Store,
-        _ => Place::Remote,
+        _ if own == other => Proximity::Zone,
+        _ if own.0 == other.0 => Proximity::Region,
+        _ if other.0 == 0 => Proximity::Store,
+        _ => Proximity::Remote,
     }
 }
 
 pub(crate) fn topology(setup: &Setup, i: usize) -> Topology {
     let member = |(j, &site): (usize, &Site)| Member {
         id: id(j),
-        place: place(setup.sites[i], site),
+        proximity: proximity(setup.sites[i], site),
     };
     Topology::new(id(i), setup.sites.iter().enumerate().map(member).collect())
 }
 
 pub(crate) fn scheduler(setup: &Setup, i: usize) -> Scheduler {
     let mut config = Config::new(setup.prefer, CHUNK, HOST);
-    config.crossing = setup.crossing;
+    config.cross_region = setup.crossing;
     let chunks = (0..CHUNKS).map(|c| digest(c, setup.seed)).collect();
     let seed = setup.seed * 1000 + i as u64;
     let manifest = digest(CHUNKS, setup.seed);
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -2,7 +2,7 @@
 
 use sesamewing::{
     base::Millis,
-    decide::rollout::{order, Rollout},
+    decide::rollout::{load_order, HostSchedule},
     gateway::{DesiredVersions, WeightVersion},
 };
 
@@ -48,7 +48,7 @@
 fn load_starts_spread_over_the_bound() {
     let hosts = 19;
     let load_start = |rank| {
-        let rollout = Rollout {
+        let rollout = HostSchedule {
             bound: BOUND,
             rank,
             hosts,
@@ -64,7 +64,7 @@
 #[test]
 fn order_differs_between_versions() {
     let hosts: Vec<std::net::IpAddr> = (1..20).map(|i| [10, 0, 0, i].into()).collect();
-    let first = |version| hosts.iter().min_by_key(|h| order(**h, false, version));
+    let first = |version| hosts.iter().min_by_key(|h| load_order(**h, false, version));
     let distinct: std::collections::HashSet<_> = (1..30).map(first).collect();
     assert!(distinct.len() > 5, "{distinct:?}");
 }
--- a/tests/lease_holder.rs
+++ b/tests/lease_holder.rs
@@ -5,7 +5,7 @@
     base::{Fence, Instance, Millis},
     decide::{
         drain::{Drain, LEAVE_TIME},
-        lease::{FenceGate, LeaseHolder, LeaseStep, MARGIN, TERM},
+        lease::{FenceGate, LeaseHolder, LeaseStep, EXPIRY_MARGIN, LEASE_TERM},
     },
     kernel::{Body, Entry, Kernel, Lease, LeaseOp, Record},
 };
@@ -45,10 +45,10 @@
     h.observe(Millis(sent), log.lease());
     let step = h.next(Millis(sent));
     if let LeaseStep::Append(op) = &step {
-        h.sent(Millis(sent));
+        h.append_sent(Millis(sent));
         log.append(op.clone());
         h.observe(Millis(read), log.lease());
-        h.settled();
+        h.appends_settled();
     }
     step
 }
@@ -59,10 +59,13 @@
     let (mut h, mut log) = (holder(1), Log::new());
     step(&mut h, &mut log, 100, 3000);
     // The term runs from before the append was sent, not from its read-back.
-    assert_eq!(h.may_command(Millis(100 + TERM.0 - 1)), Some(Fence(1)));
-    assert_eq!(h.may_command(Millis(100 + TERM.0)), None);
-    h.observe(Millis(100 + TERM.0), log.lease());
-    assert_eq!(h.may_command(Millis(100 + TERM.0)), None);
+    assert_eq!(
+        h.command_fence(Millis(100 + LEASE_TERM.0 - 1)),
+        Some(Fence(1))
+    );
+    assert_eq!(h.command_fence(Millis(100 + LEASE_TERM.0)), None);
+    h.observe(Millis(100 + LEASE_TERM.0), log.lease());
+    assert_eq!(h.command_fence(Millis(100 + LEASE_TERM.0)), None);
 }
 
 /// Guards against an early takeover, and against two holders that may command at the same time.
@@ -70,8 +73,8 @@
 fn lease_is_taken_over_late_never_early() {
     let (mut a, mut b, mut log) = (holder(1), holder(2), Log::new());
     step(&mut a, &mut log, 0, 50);
-    let (read, end) = (200, 200 + TERM.0 + MARGIN.0);
-    assert_matches!(step(&mut b, &mut log, read, read), LeaseStep::Wait(t) if t == TERM + MARGIN);
+    let (read, end) = (200, 200 + LEASE_TERM.0 + EXPIRY_MARGIN.0);
+    assert_matches!(step(&mut b, &mut log, read, read), LeaseStep::Wait(t) if t == LEASE_TERM + EXPIRY_MARGIN);
     assert_matches!(
         step(&mut b, &mut log, end - 1, end),
         LeaseStep::Wait(Millis(1))
@@ -80,15 +83,15 @@
         step(&mut b, &mut log, end, end),
         LeaseStep::Append(LeaseOp::Expire(_))
     );
-    assert_eq!(a.may_command(Millis(end)), None);
+    assert_eq!(a.command_fence(Millis(end)), None);
     assert_matches!(
         step(&mut b, &mut log, end, end),
         LeaseStep::Append(LeaseOp::Acquire { .. })
     );
-    assert_eq!(b.may_command(Millis(end)), Some(Fence(3)));
+    assert_eq!(b.command_fence(Millis(end)), Some(Fence(3)));
     // The former holder wakes: its renewal has no effect and it waits.
     a.observe(Millis(end), log.lease());
-    assert_eq!(a.may_command(Millis(end)), None);
+    assert_eq!(a.command_fence(Millis(end)), None);
     assert_matches!(step(&mut a, &mut log, end, end), LeaseStep::Wait(_));
 }
 
@@ -98,7 +101,7 @@
     let (mut a, mut b, mut log) = (holder(1), holder(2), Log::new());
     step(&mut a, &mut log, 0, 0);
     step(&mut b, &mut log, 0, 0);
-    let late = TERM.0 + MARGIN.0;
+    let late = LEASE_TERM.0 + EXPIRY_MARGIN.0;
     let LeaseStep::Append(expire) = b.next(Millis(late)) else {
         panic!("no expiry");
     };
@@ -109,7 +112,7 @@
     );
     log.append(expire);
     assert_eq!(log.lease().map(|l| l.fence), Some(Fence(1)));
-    assert_matches!(step(&mut b, &mut log, late, late), LeaseStep::Wait(t) if t == TERM + MARGIN);
+    assert_matches!(step(&mut b, &mut log, late, late), LeaseStep::Wait(t) if t == LEASE_TERM + EXPIRY_MARGIN);
 }
 
 /// Guards against a term that counts from a later append although an earlier one took effect.
@@ -120,13 +123,13 @@
     let LeaseStep::Append(op) = h.next(Millis(0)) else {
         panic!("no acquisition");
     };
-    h.sent(Millis(0));
+    h.append_sent(Millis(0));
     // The first answer is lost; the second append is sent and the first one is read back.
-    h.sent(Millis(4000));
+    h.append_sent(Millis(4000));
     log.append(op);
     h.observe(Millis(4100), log.lease());
-    assert_eq!(h.may_command(TERM - Millis(1)), Some(Fence(1)));
-    assert_eq!(h.may_command(TERM), None);
+    assert_eq!(h.command_fence(LEASE_TERM - Millis(1)), Some(Fence(1)));
+    assert_eq!(h.command_fence(LEASE_TERM), None);
 }
 
 /// Guards against stale commands to endpoints that check no token themselves.
--- a/tests/load_order.rs
+++ b/tests/load_order.rs
@@ -17,7 +17,7 @@
     agent::{Board, Lessee, Loader},
     backing::{Log, Page, PlatformError, Stream},
     base::{Clock, Digest, Instance, Millis, Offset},
-    decide::lease::{LeaseHolder, MARGIN, TERM},
+    decide::lease::{LeaseHolder, EXPIRY_MARGIN, LEASE_TERM},
     feed::Replica,
     kernel::{Body, Kernel, LeaseOp, Record},
     observe::{RoleStatus, Timeline},
@@ -43,7 +43,7 @@
 impl Clock for JumpClock {
     fn now(&self) -> Millis {
         if self.reads.fetch_add(1, Ordering::SeqCst) + 1 == self.jump {
-            self.now.fetch_add(TERM.0, Ordering::SeqCst);
+            self.now.fetch_add(LEASE_TERM.0, Ordering::SeqCst);
         }
         self.peek()
     }
@@ -189,7 +189,7 @@
         let at = Millis(rig.endpoint.state.lock().unwrap().loads[0].2);
         let held = at - *rig.sent.lock().unwrap();
         assert!(
-            held < TERM,
+            held < LEASE_TERM,
             "jump at reading {jump}: {held} after the append was sent"
         );
     }
@@ -205,19 +205,23 @@
             resource: "endpoint/a1".to_owned(),
             holder: "a1".parse().expect("a name"),
             instance: Instance(99),
-            term: TERM,
+            term: LEASE_TERM,
         }),
     );
     let rig = Rig::start(platform, 0, None);
     rig.alarm("lease-wait").await;
-    rig.clock.now.store((TERM + MARGIN).0 - 1, Ordering::SeqCst);
+    rig.clock
+        .now
+        .store((LEASE_TERM + EXPIRY_MARGIN).0 - 1, Ordering::SeqCst);
     let reads = rig.clock.reads.load(Ordering::SeqCst);
     until("further looks", || {
         rig.clock.reads.load(Ordering::SeqCst) > reads + 4
     })
     .await;
     assert_eq!(rig.loads(), 0);
-    rig.clock.now.store((TERM + MARGIN).0 + 1, Ordering::SeqCst);
+    rig.clock
+        .now
+        .store((LEASE_TERM + EXPIRY_MARGIN).0 + 1, Ordering::SeqCst);
     until("the load", || rig.loads() == 1).await;
     let fence = rig.endpoint.state.lock().unwrap().loads[0].1;
     assert!(fence.0 > 1, "the token grows");
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -1,13 +1,13 @@
 //! Turns in which the hosts of a service load a new version.
 
-use sesamewing::{base::Millis, decide::rollout::Rollout};
+use sesamewing::{base::Millis, decide::rollout::HostSchedule};
 
 const BOUND: Millis = Millis(10_000);
 const HOSTS: usize = 40;
 
 fn starts(ready: Millis) -> Vec<Millis> {
     let start = |rank| {
-        let rollout = Rollout {
+        let rollout = HostSchedule {
             bound: BOUND,
             rank,
             hosts: HOSTS,
--- a/tests/snapshot_restore.rs
+++ b/tests/snapshot_restore.rs
@@ -24,7 +24,7 @@
     let mut timers = [(); 3].map(|()| SnapshotTimer::default());
     let applied = Offset(RECORDS_MAX);
     for t in &mut timers {
-        t.seen(Offset(0), now);
+        t.record_snapshot(Offset(0), now);
         assert!(
             !t.poll(now, Offset(RECORDS_MAX - 1), DAY, 0),
             "too few records"
@@ -46,7 +46,7 @@
         [true, true, false]
     );
     assert_eq!(turns(&mut timers, now + Millis(20_000)), [true, true, true]);
-    timers[2].seen(applied, now + Millis(20_000));
+    timers[2].record_snapshot(applied, now + Millis(20_000));
     let last = turns(&mut timers, now + Millis(30_000))[2];
     assert!(!last, "a newer one was seen");
 }
@@ -60,7 +60,7 @@
         t.is_due(Millis(0), Offset(1), DAY),
         "nothing is known of the stream"
     );
-    t.seen(Offset(1), Millis(0));
+    t.record_snapshot(Offset(1), Millis(0));
     let quarter = Millis(DAY.0 / 4);
     assert!(!t.is_due(Millis(quarter.0 - 1), Offset(1), DAY));
     assert!(t.is_due(quarter, Offset(1), DAY));
