--- a/src/agent/board.rs
+++ b/src/agent/board.rs
@@ -156,7 +156,7 @@
 
     /// Admits a request unless the agent is leaving.
     pub fn enter(self: &Arc<Self>) -> Option<Permit> {
-        if !lock(&self.drain).enter() {
+        if !lock(&self.drain).admit() {
             return None;
         }
         self.update_running();
@@ -219,7 +219,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        lock(&self.board.drain).leave();
+        lock(&self.board.drain).finish();
         self.board.update_running();
     }
 }
--- a/src/decide/burst.rs
+++ b/src/decide/burst.rs
@@ -1,12 +1,14 @@
-//! How many hosts hold a version, which of them keep the copy in memory, and when hosts leave before credits end.
+//! Scaling of a service under load: how many hosts load a version, which of them keep the copy in memory, and when
+//! hosts drain before the compute credits of their region end.
 //!
-//! The live agents of a service in a region are ranked by rendezvous hash over service and agent name, so that ranks do
-//! not depend on the version. Agents below `replicas` load the version. Each further agent below `ceiling` watches the
-//! two ranks before it and starts once both serve the version under load; growth is a chain without a coordinator.
-//! Views that differ by one host shift ranks by one and cost at most one extra copy.
+//! The live agents of a service in a region are ranked by rendezvous hashing over service and agent name, so that ranks
+//! do not depend on the version. Agents with a rank below `replicas` load the version. Each further agent with a rank
+//! below `ceiling` watches the two ranks before it and loads the version once both serve it under load, so that the
+//! number of replicas grows rank by rank without a coordinator. Host lists that differ by one host shift ranks by one
+//! and cost at most one extra copy.
 //!
-//! An endpoint that serves a version follows to the next one without waiting for load: it could not drop the old
-//! version, and would answer with it for as long as nobody replaces it.
+//! An endpoint that serves a version changes to the next one without waiting for load: it could not unload the old
+//! version, and would serve it until something replaces it.
 
 use crate::{
     base::{rendezvous, HashMap, HashSet, Millis, Percent, ProcessName, Service, VersionName},
@@ -14,28 +16,29 @@
     wire::{AgentReport, AgentState},
 };
 
-/// Time for which the agents ahead must be loaded before a further one starts; a shorter peak is queued instead.
+/// Time for which the agents of the ranks before must be under load before a further one loads the version; requests of
+/// a shorter peak wait in queues instead.
 pub const SUSTAINED_LOAD: Millis = Millis(2000);
 
-/// Number of agents ahead that an agent watches at most.
+/// Maximum number of agents of the ranks before that an agent watches.
 pub const WATCHED_MAX: usize = 2;
 
-/// Number of hosts that stands for all hosts of a region; the largest value of the options that count hosts.
+/// Number that means all hosts of a region; the largest value of the options that count hosts.
 pub const ALL_HOSTS: u32 = 100_000;
 
-/// AgentRank of an agent among the live agents of its service in its region.
+/// Rank of an agent among the live agents of its service in its region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentRank {
-    /// Rank; the first agent has rank 0.
+    /// Number of agents before this one; the first agent has rank 0.
     pub rank: usize,
-    /// Live agents, this one included.
+    /// Number of live agents, including this one.
     pub live: usize,
-    /// The agents of the ranks before, nearest first; at most [`WATCHED_MAX`].
+    /// Agents of the ranks directly before, nearest first; at most [`WATCHED_MAX`].
     pub ahead: Vec<ProcessName>,
 }
 
 impl AgentRank {
-    /// Ranks an agent among the other live agents.
+    /// Ranks the agent `own` among the other live agents of the service.
     pub fn new(
         service: &Service,
         own: &ProcessName,
@@ -64,7 +67,7 @@
 
 /// Returns the agents of the first `limit` ranks among the live agents of a service in a region.
 ///
-/// Only they are sure to copy a version; further agents copy it when the load grows.
+/// Only these are certain to copy a version; further agents copy it when the load grows.
 pub fn first_ranks(
     service: &Service,
     agents: impl IntoIterator<Item = ProcessName>,
@@ -79,111 +82,120 @@
     all.into_iter().collect()
 }
 
-/// The options that a decision reads.
+/// Options and desired version of a service on which a decision depends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScalingRule {
-    /// Hosts that always load the version.
+    /// Number of hosts that always load the version.
     pub replicas: u32,
-    /// Hosts that load the version at most.
+    /// Maximum number of hosts that load the version.
     pub ceiling: u32,
-    /// Hosts that keep the copy in memory.
+    /// Number of hosts that keep the copy in memory after their endpoint has loaded it.
     pub seeds: u32,
-    /// Load from which the next host starts.
+    /// Load of the watched agents, in per cent of their capacity, from which the next host loads the version.
     pub threshold: Percent,
-    /// Version in the settings.
+    /// Desired version according to the settings.
     pub version: Option<VersionName>,
 }
 
-/// What the agent does.
+/// Decision of [`ReplicaScaler::tick`] for one agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CopyDecision {
-    /// Whether the agent obtains and loads the version in the settings.
+    /// Whether the agent copies and loads the desired version.
     pub load: bool,
-    /// Whether the copy stays in memory after the endpoint confirmed the version.
+    /// Whether the copy stays in memory after the endpoint has reported the version.
     pub keep: bool,
-    /// Whether load of the agents ahead caused the start, at this decision.
+    /// Whether this decision makes the agent load the version because the agents of the ranks before are under load.
     pub scaled_up: bool,
-    /// Agents to watch; at most [`WATCHED_MAX`].
+    /// Agents whose reports the agent needs; at most [`WATCHED_MAX`].
     pub watch: Vec<ProcessName>,
 }
 
-/// Decides for one agent.
+/// Decides for one agent whether it loads the desired version and whether it keeps the copy.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaScaler {
+    /// Last report of each watched agent and the time at which it arrived.
     reports: HashMap<ProcessName, (Millis, AgentReport)>,
-    /// Load and version that the last decision looked for.
-    wanted: Option<(Percent, VersionName)>,
-    /// Time since which all agents ahead are loaded.
-    since: Option<Millis>,
-    /// Whether the agent has started; final, because a later dip of the load must not abandon a copy.
+    /// Load threshold and version against which the last decision compared the reports.
+    target: Option<(Percent, VersionName)>,
+    /// Time since which all watched agents have been under load.
+    loaded_since: Option<Millis>,
+    /// Whether the agent has started to copy a version because of load, or its endpoint already serves one. Never
+    /// reset, because a later drop of the load must not make it abandon a copy.
     started: bool,
-    /// Version whose copy was given back.
+    /// Version whose copy was released from memory.
     released: Option<VersionName>,
 }
 
 impl ReplicaScaler {
-    /// Takes over a report of a watched agent.
+    /// Records a report of a watched agent that arrived at `now`.
     pub fn report(&mut self, now: Millis, report: AgentReport) {
-        if let Some((threshold, version)) = &self.wanted {
+        if let Some((threshold, version)) = &self.target {
             if !is_loaded(&report, *threshold, version) {
-                self.since = None;
+                self.loaded_since = None;
             }
         }
         self.reports.insert(report.name.clone(), (now, report));
     }
 
-    /// Decides; `place` is `None` until the host list has this agent, `held` is the version that the endpoint reports.
+    /// Decides at `now`; `rank` is `None` until the host list contains this agent, `held` is the version that the
+    /// endpoint reports.
     pub fn tick(
         &mut self,
         now: Millis,
-        place: Option<&AgentRank>,
+        rank: Option<&AgentRank>,
         rule: &ScalingRule,
         held: Option<&VersionName>,
     ) -> CopyDecision {
-        let fits = |limit: u32| match place {
+        let fits = |limit: u32| match rank {
             Some(p) => p.rank < limit as usize,
-            // Without a rank only a limit that admits every host is known to admit this one.
+            // Without a rank, the agent is known to be below a limit only if the limit admits all hosts.
             None => limit >= ALL_HOSTS,
         };
-        let (base, limit, seed) = (fits(rule.replicas), fits(rule.ceiling), fits(rule.seeds));
+        let (below_replicas, below_ceiling, is_seed) =
+            (fits(rule.replicas), fits(rule.ceiling), fits(rule.seeds));
         self.started |= held.is_some();
-        let waits = limit && !base && !self.started && place.is_some();
-        let scaled_up = self.grows(now, place.filter(|_| waits), rule);
+        let waits = below_ceiling && !below_replicas && !self.started && rank.is_some();
+        let scaled_up = self.is_load_sustained(now, rank.filter(|_| waits), rule);
         self.started |= scaled_up;
         let confirmed = held.filter(|h| rule.version.as_ref() == Some(*h));
         let covered = || {
-            let (Some(p), Some(v)) = (place, confirmed) else {
+            let (Some(p), Some(v)) = (rank, confirmed) else {
                 return false;
             };
             p.ahead
                 .iter()
-                .all(|n| self.fresh(now, n).is_some_and(|r| holds(r, v)))
+                .all(|n| self.fresh(now, n).is_some_and(|r| serves(r, v)))
         };
-        if seed || confirmed.is_none() {
+        if is_seed || confirmed.is_none() {
             self.released = None;
         } else if self.released.as_ref() != confirmed && covered() {
             self.released = confirmed.cloned();
         }
-        let releases = confirmed.is_some() && !seed && self.released.is_none();
-        let watch = place
+        let releases = confirmed.is_some() && !is_seed && self.released.is_none();
+        let watch = rank
             .filter(|_| (waits && !scaled_up) || releases)
             .map_or_else(Vec::new, |p| p.ahead.clone());
         self.reports.retain(|n, _| watch.contains(n));
         CopyDecision {
-            load: limit && (base || self.started),
+            load: below_ceiling && (below_replicas || self.started),
             keep: self.released.is_none(),
             scaled_up,
             watch,
         }
     }
 
-    /// Returns whether all agents ahead have been loaded for [`SUSTAINED_LOAD`].
-    fn grows(&mut self, now: Millis, place: Option<&AgentRank>, rule: &ScalingRule) -> bool {
-        let wanted = rule.version.clone().map(|v| (rule.threshold, v));
-        if self.wanted != wanted {
-            (self.wanted, self.since) = (wanted, None);
+    /// Returns whether all watched agents have been under load for [`SUSTAINED_LOAD`].
+    fn is_load_sustained(
+        &mut self,
+        now: Millis,
+        rank: Option<&AgentRank>,
+        rule: &ScalingRule,
+    ) -> bool {
+        let target = rule.version.clone().map(|v| (rule.threshold, v));
+        if self.target != target {
+            (self.target, self.loaded_since) = (target, None);
         }
-        let loaded = match (place, &self.wanted) {
+        let loaded = match (rank, &self.target) {
             (Some(p), Some((threshold, version))) if !p.ahead.is_empty() => {
                 p.ahead.iter().all(|n| {
                     self.fresh(now, n)
@@ -193,61 +205,61 @@
             _ => false,
         };
         if !loaded {
-            self.since = None;
+            self.loaded_since = None;
             return false;
         }
-        now - *self.since.get_or_insert(now) >= SUSTAINED_LOAD
+        now - *self.loaded_since.get_or_insert(now) >= SUSTAINED_LOAD
     }
 
-    /// Returns the last report of an agent unless it is late.
+    /// Returns the last report of an agent unless it is stale, that is, older than [`SUSPECT_AFTER`].
     fn fresh(&self, now: Millis, name: &ProcessName) -> Option<&AgentReport> {
         let (at, report) = self.reports.get(name)?;
         (now - *at < SUSPECT_AFTER).then_some(report)
     }
 }
 
-fn holds(r: &AgentReport, version: &VersionName) -> bool {
+fn serves(r: &AgentReport, version: &VersionName) -> bool {
     r.state == AgentState::Serving && r.version.as_ref() == Some(version)
 }
 
 fn is_loaded(r: &AgentReport, threshold: Percent, version: &VersionName) -> bool {
     let load = (u64::from(r.running) + u64::from(r.waiting)) * 100;
-    // An endpoint without a known capacity has no known load.
+    // The load of an endpoint that reports no capacity is unknown.
     let full = r.capacity > 0 && load >= u64::from(r.capacity) * u64::from(threshold.0);
-    full && holds(r, version)
+    full && serves(r, version)
 }
 
-/// Where an agent stands before the end of the credits.
+/// Stage of an agent's drain before the end of the credits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainStage {
-    /// No end is near.
+    /// The credits do not end, or the drain is more than one lead away.
     Far,
-    /// The drain is near.
+    /// The drain of the region's hosts starts within one lead, or has started without this agent.
     Announced,
-    /// The agent drains now.
+    /// The agent must drain now.
     Drain,
 }
 
-/// Decides when an agent drains before the end of the credits.
+/// Decides when an agent drains before the compute credits of its region end.
 ///
-/// Times are Unix times in milliseconds.
+/// Points in time are Unix times in milliseconds. The lead is the time before the end at which the drains start.
 #[derive(Clone, Debug, Default)]
 pub struct CreditDrain {
-    /// End and lead of `at`.
+    /// End and lead for which `at` was computed.
     term: (Millis, Millis),
-    /// Start of this agent's drain. Fixed when the lead begins: ranks shift as earlier ones leave, and agents that
-    /// followed them would all drain at once.
+    /// Start of this agent's drain. Fixed when the lead begins: ranks shift when earlier agents leave, and agents that
+    /// computed their time anew would all drain at once.
     at: Option<Millis>,
 }
 
 impl CreditDrain {
-    /// Decides; `ends` is zero if the credits do not end.
+    /// Returns the stage at the Unix time `wall`; `ends` is zero if the credits do not end.
     pub fn tick(
         &mut self,
         wall: Millis,
         ends: Millis,
         lead: Millis,
-        place: Option<&AgentRank>,
+        rank: Option<&AgentRank>,
     ) -> DrainStage {
         if self.term != (ends, lead) {
             *self = Self {
@@ -263,9 +275,9 @@
             return DrainStage::Announced;
         }
         if self.at.is_none() {
-            self.at = place.map(|p| start + slot(p, lead));
+            self.at = rank.map(|p| start + drain_delay(p, lead));
         }
-        // An agent that the list does not have cannot know its rank and is the last to drain.
+        // An agent that is not in the host list cannot know its rank and drains last.
         let at = self.at.unwrap_or(start + Millis(lead.0 / 2));
         if wall >= at {
             return DrainStage::Drain;
@@ -274,8 +286,8 @@
     }
 }
 
-/// Spreads the drains evenly over the first half of the lead.
-fn slot(place: &AgentRank, lead: Millis) -> Millis {
-    let part = u128::from(lead.0 / 2) * place.rank as u128 / place.live.max(1) as u128;
+/// Returns the time from the begin of the lead to the drain of an agent; drains are spread evenly over its first half.
+fn drain_delay(rank: &AgentRank, lead: Millis) -> Millis {
+    let part = u128::from(lead.0 / 2) * rank.rank as u128 / rank.live.max(1) as u128;
     Millis(part as u64)
 }
--- a/src/decide/chunk/bitmap.rs
+++ b/src/decide/chunk/bitmap.rs
@@ -1,12 +1,12 @@
-//! A set of chunk indexes.
+//! Bitmap of chunk indexes.
 
-/// A set of chunk indexes below a fixed bound.
+/// Set of chunk indexes below a fixed bound, with one bit per index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bitmap {
     words: Vec<u64>,
     /// Number of set bits.
     ones: u32,
-    /// Exclusive bound of the indexes.
+    /// Exclusive upper bound of the indexes, the number of chunks.
     len: u32,
 }
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Reads a set from bytes, lowest bit first; bits at or above `len` are ignored.
+    /// Decodes a set of indexes below `len` from bytes, lowest bit first; bits at or above `len` are ignored.
     pub fn from_bytes(data: &[u8], len: u32) -> Self {
         let mut out = Self::new(len);
         for (i, byte) in data.iter().enumerate() {
@@ -31,7 +31,7 @@
         out
     }
 
-    /// Returns the bytes that [`Bitmap::from_bytes`] reads.
+    /// Encodes the set as the bytes that [`Bitmap::from_bytes`] reads.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut out: Vec<u8> = self.words.iter().flat_map(|w| w.to_le_bytes()).collect();
         out.truncate((self.len as usize).div_ceil(8));
--- a/src/decide/chunk/mod.rs
+++ b/src/decide/chunk/mod.rs
@@ -1,7 +1,8 @@
-//! Which chunk to fetch next, and from whom.
+//! Chunk scheduling: which chunk of a version's weights a host fetches next, and from which source.
 //!
-//! Each agent runs one [`Scheduler`] for the manifest it copies. There is no election: leaders of a chunk follow from
-//! rendezvous ranks over the host list, so that differing lists cost duplicate chunks, never missing ones.
+//! Each agent runs one [`Scheduler`] for the manifest that it copies. There is no election: the leader of a chunk, the
+//! host that seeds it into the region, follows from rendezvous hashing over the host list. Hosts with different lists
+//! may therefore fetch duplicate chunks, but no chunk goes missing.
 
 mod bitmap;
 mod config;
--- a/src/decide/chunk/peer.rs
+++ b/src/decide/chunk/peer.rs
@@ -1,20 +1,23 @@
-//! What the scheduler knows about its neighbours.
+//! State that the scheduler keeps for each neighbour and each fetch in progress.
 
 use super::{Bitmap, PeerId, Proximity, Source};
 use crate::base::Millis;
 
-/// A neighbour.
+/// Neighbour with which this host exchanges chunks.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) id: PeerId,
     pub(super) proximity: Proximity,
+    /// Chunks that the neighbour reported to hold.
     pub(super) has: Bitmap,
+    /// Number of fetches from it in progress.
     pub(super) flights: usize,
-    /// Whether it reported its chunks, even if it has none.
+    /// Whether the neighbour has sent its first report, which may list no chunk.
     pub(super) reported: bool,
+    /// Failed fetches since the last chunk that arrived from it.
     pub(super) failures: u32,
-    /// Not asked before this time.
-    pub(super) until: Millis,
+    /// End of the backoff, before which no request is sent to it.
+    pub(super) backoff_until: Millis,
 }
 
 impl Peer {
@@ -26,12 +29,12 @@
             flights,
             reported: false,
             failures: 0,
-            until: Millis::ZERO,
+            backoff_until: Millis::ZERO,
         }
     }
 }
 
-/// A fetch in progress.
+/// Fetch in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Flight {
     pub(super) chunk: u32,
--- a/src/decide/chunk/scheduler.rs
+++ b/src/decide/chunk/scheduler.rs
@@ -1,4 +1,4 @@
-//! State of the exchange of one manifest.
+//! Chunk scheduler of one host for one manifest.
 
 use super::{
     event::{Action, Event, Fault, Source, Waste},
@@ -12,57 +12,60 @@
     settings::Prefer,
 };
 
-/// Ranks that may each fetch a copy from the origin when time is preferred.
-const TIME_RANKS: usize = 4;
+/// Number of ranks that may each fetch a copy of a chunk from the origin if [`Prefer::Time`] is set.
+const ORIGIN_RANKS: usize = 4;
 
-/// Time for which a peer whose subscription ended is replaced by another neighbour; doubles each time until a chunk
-/// comes from it.
-const AWAY: Millis = Millis(5000);
+/// Time for which a peer whose subscription ended is excluded and another host is a neighbour in its stead; doubles
+/// each time until a chunk arrives from the peer.
+const EXCLUSION: Millis = Millis(5000);
 
-/// Failures in a row after which a peer is replaced by another neighbour.
+/// Number of failures in a row after which a peer is excluded.
 const FAILURES_MAX: u32 = 2;
 
-/// Time until a leader of another region asks again for a chunk that the store's region does not hold yet.
-const CROSS_RETRY: Millis = Millis(100);
+/// Time after which a leader of another region requests a chunk again that a host of the origin's region did not have
+/// or was too busy to send.
+const CROSS_REGION_RETRY: Millis = Millis(100);
 
-/// Decides what one agent fetches for one manifest.
+/// Decides which chunks of one manifest a host fetches, when, and from which sources.
 #[derive(Debug)]
 pub struct Scheduler {
     config: Config,
     manifest: Digest,
     chunks: Vec<Digest>,
     topology: Topology,
+    /// Chunks that this host holds.
     held: Bitmap,
     /// Neighbours; at most 8.
     peers: Vec<Peer>,
     /// Number of `peers` that hold each chunk.
     copies: Vec<u16>,
-    /// Random order among equally rare chunks.
-    ties: Vec<u32>,
+    /// Random number of each chunk that decides between equally rare ones.
+    tie_breakers: Vec<u32>,
+    /// Fetches in progress.
     flights: Vec<Flight>,
-    /// Rank of this host for each chunk.
+    /// Rank of this host for each chunk, 0 if it is the leader.
     ranks: Vec<usize>,
     window: Window,
-    /// Failures of the origin in a row, and the time before which it is not asked.
+    /// Number of failures of the origin in a row, and the end of its backoff.
     origin: (u32, Millis),
-    /// Attempts across regions for a chunk, and the time of the next one.
-    crossing: HashMap<u32, (usize, Millis)>,
-    /// Whether the window was paced to the link between the regions.
+    /// Number of attempts to fetch a chunk from another region, and the time of the next one, by chunk.
+    cross_region: HashMap<u32, (usize, Millis)>,
+    /// Whether seeding was already spread over time by the rate limit between the regions.
     paced: bool,
-    /// Peers that sent corrupt chunks.
+    /// Peers that sent corrupt chunks, or that the driver reported; not used for the rest of the copy.
     corrupt: HashSet<PeerId>,
-    /// Peers that are replaced until some time, and how often they were.
-    away: HashMap<PeerId, (Millis, u32)>,
-    /// Time until which leaders wait for the first reports of neighbours; set by the first decision.
-    grace: Option<Millis>,
-    /// Time at which the next of `away` may be a neighbour again.
-    returns: Millis,
+    /// Excluded peers: the end of the exclusion, and how often they were excluded since a chunk last arrived from them.
+    excluded: HashMap<PeerId, (Millis, u32)>,
+    /// End of the wait for the first reports of all neighbours; set by the first decision on seeding.
+    reports_until: Option<Millis>,
+    /// Earliest end of an exclusion.
+    next_return: Millis,
     waste: Waste,
     rng: fastrand::Rng,
 }
 
 impl Scheduler {
-    /// Starts a copy with the chunks that are held already.
+    /// Creates a scheduler for the chunks of a manifest, none of which is held yet; `seed` seeds its random choices.
     pub fn new(
         config: Config,
         manifest: Digest,
@@ -74,19 +77,19 @@
         let len = chunks.len();
         let mut out = Self {
             window: Window::new(seeding_order(&chunks), config.seed_window),
-            ties: (0..len).map(|_| rng.u32(..)).collect(),
+            tie_breakers: (0..len).map(|_| rng.u32(..)).collect(),
             held: Bitmap::new(len as u32),
             peers: Vec::new(),
             copies: vec![0; len],
             flights: Vec::new(),
             ranks: Vec::new(),
             origin: (0, Millis::ZERO),
-            crossing: HashMap::default(),
+            cross_region: HashMap::default(),
             paced: false,
             corrupt: HashSet::default(),
-            away: HashMap::default(),
-            grace: None,
-            returns: Millis::MAX,
+            excluded: HashMap::default(),
+            reports_until: None,
+            next_return: Millis::MAX,
             waste: Waste::default(),
             rng,
             config,
@@ -98,33 +101,33 @@
         out
     }
 
-    /// Returns the chunks that are held.
+    /// Returns the chunks that this host holds.
     pub fn held(&self) -> &Bitmap {
         &self.held
     }
 
-    /// Returns the neighbours whose chunks this agent should subscribe to.
+    /// Returns the neighbours to whose reports this agent should subscribe.
     pub fn neighbours(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.peers.iter().map(|p| p.id)
     }
 
-    /// Returns the transfers that were of no use.
+    /// Returns the number of wasted transfers.
     pub fn waste(&self) -> Waste {
         self.waste
     }
 
-    /// Avoids a peer for the rest of the copy.
+    /// Excludes a peer for the rest of the copy.
     pub fn avoid(&mut self, now: Millis, peer: PeerId) {
         self.corrupt.insert(peer);
         self.set_neighbours(now);
     }
 
-    /// Takes an event.
+    /// Updates the state with an event; [`Scheduler::poll`] returns the actions that result.
     pub fn handle(&mut self, now: Millis, event: Event) {
         match event {
             Event::Members(t) => self.set_topology(now, t),
             Event::Has(peer, chunks) => self.add_copies(now, peer, &chunks),
-            Event::Gone(peer) => self.replace(now, peer),
+            Event::Gone(peer) => self.exclude(now, peer),
             Event::Held(chunk) => self.hold(now, chunk),
             Event::Arrived(chunk, from) => self.arrive(now, chunk, from),
             Event::Failed(chunk, from, fault) => self.fail(now, chunk, from, fault),
@@ -140,13 +143,13 @@
     fn set_neighbours(&mut self, now: Millis) {
         let mut avoid = self.corrupt.clone();
         avoid.extend(
-            self.away
+            self.excluded
                 .iter()
                 .filter(|(_, a)| a.0 > now)
                 .map(|(id, _)| id),
         );
-        let times = self.away.values().map(|a| a.0);
-        self.returns = times.filter(|t| *t > now).min().unwrap_or(Millis::MAX);
+        let times = self.excluded.values().map(|a| a.0);
+        self.next_return = times.filter(|t| *t > now).min().unwrap_or(Millis::MAX);
         let wanted = self.topology.neighbours(&self.manifest, &avoid);
         let gone: Vec<_> = self
             .neighbours()
@@ -179,7 +182,7 @@
         let copies = &mut self.copies[chunk as usize];
         *copies -= 1;
         if *copies == 0 && !self.held.contains(chunk) {
-            self.window.lose(chunk);
+            self.window.mark_lost(chunk);
         }
     }
 
@@ -188,8 +191,8 @@
     }
 
     fn add_copies(&mut self, now: Millis, id: PeerId, chunks: &[u32]) {
-        // What a peer claims that failed before does not keep leaders from fetching the chunk.
-        let trusted = !self.away.contains_key(&id);
+        // Reports of a peer that was excluded, and sent no chunk since, do not keep leaders from seeding the chunks.
+        let trusted = !self.excluded.contains_key(&id);
         let Some(peer) = self.peers.iter_mut().find(|p| p.id == id) else {
             return;
         };
@@ -199,27 +202,28 @@
                 self.copies[c as usize] += 1;
             }
             if trusted && peer.has.contains(c) {
-                self.window.see(c, now);
+                self.window.mark_seen(c, now);
             }
         }
     }
 
-    fn replace(&mut self, now: Millis, id: PeerId) {
+    /// Excludes a peer for a while and chooses another neighbour in its stead.
+    fn exclude(&mut self, now: Millis, id: PeerId) {
         self.drop_peer(id);
-        let times = self.away.get(&id).map_or(0, |a| a.1);
-        let until = now + AWAY.times(1 << times.min(4));
-        self.away.insert(id, (until, times + 1));
+        let times = self.excluded.get(&id).map_or(0, |a| a.1);
+        let until = now + EXCLUSION.times(1 << times.min(4));
+        self.excluded.insert(id, (until, times + 1));
         self.set_neighbours(now);
     }
 
     fn hold(&mut self, now: Millis, chunk: u32) {
         if self.held.insert(chunk) {
-            self.window.see(chunk, now);
+            self.window.mark_seen(chunk, now);
         }
     }
 
-    /// Removes a flight; returns whether it was known.
-    fn land(&mut self, chunk: u32, from: Source) -> bool {
+    /// Ends a fetch in progress; returns whether it was known.
+    fn end_flight(&mut self, chunk: u32, from: Source) -> bool {
         let found = |f: &Flight| f.chunk == chunk && f.from == from;
         let Some(i) = self.flights.iter().position(found) else {
             return false;
@@ -234,14 +238,14 @@
     }
 
     fn arrive(&mut self, now: Millis, chunk: u32, from: Source) {
-        self.land(chunk, from);
+        self.end_flight(chunk, from);
         if self.held.contains(chunk) {
             self.waste.duplicates += 1;
         }
         match from {
             Source::Origin => self.origin = (0, Millis::ZERO),
             Source::Peer(id) => {
-                let restored = self.away.remove(&id).is_some();
+                let restored = self.excluded.remove(&id).is_some();
                 if let Some(peer) = self.peer(id) {
                     peer.failures = 0;
                     if restored {
@@ -254,13 +258,14 @@
         self.hold(now, chunk);
     }
 
+    /// Returns the backoff of the origin after this number of earlier failures in a row.
     fn backoff(&self, failures: u32) -> Millis {
         let delay = self.config.backoff.times(1 << failures.min(6));
         delay.min(self.config.backoff_max)
     }
 
     fn fail(&mut self, now: Millis, chunk: u32, from: Source, fault: Fault) {
-        self.land(chunk, from);
+        self.end_flight(chunk, from);
         if fault == Fault::Corrupt {
             self.waste.corrupt += 1;
         }
@@ -276,10 +281,10 @@
         }
         if self.topology.proximity(id).is_some_and(|p| !p.is_local()) {
             let delay = match fault {
-                Fault::Busy | Fault::Missing => CROSS_RETRY,
+                Fault::Busy | Fault::Missing => CROSS_REGION_RETRY,
                 Fault::Corrupt | Fault::Lost => self.config.backoff,
             };
-            if let Some(state) = self.crossing.get_mut(&chunk) {
+            if let Some(state) = self.cross_region.get_mut(&chunk) {
                 state.1 = now + delay;
             }
             return;
@@ -289,7 +294,7 @@
             return;
         };
         match fault {
-            Fault::Busy => peer.until = now + busy,
+            Fault::Busy => peer.backoff_until = now + busy,
             Fault::Missing => {
                 if peer.has.remove(chunk) {
                     self.lose_copy(chunk);
@@ -298,28 +303,28 @@
             Fault::Corrupt => {}
             Fault::Lost => {
                 peer.failures += 1;
-                peer.until = now + backoff.times(1 << peer.failures.min(6));
+                peer.backoff_until = now + backoff.times(1 << peer.failures.min(6));
                 if peer.failures >= FAILURES_MAX {
-                    self.replace(now, id);
+                    self.exclude(now, id);
                 }
             }
         }
     }
 
-    /// Returns the next action; to be called until it returns [`Action::Wait`] or [`Action::Done`].
+    /// Returns the next action; must be called until it returns [`Action::Wait`] or [`Action::Done`].
     pub fn poll(&mut self, now: Millis) -> Action {
-        if self.returns <= now {
+        if self.next_return <= now {
             self.set_neighbours(now);
         }
         if let Some(f) = self.flights.iter().find(|f| self.held.contains(f.chunk)) {
             let (chunk, from) = (f.chunk, f.from);
-            self.land(chunk, from);
+            self.end_flight(chunk, from);
             return Action::Cancel(chunk, from);
         }
         if self.held.is_full() {
             return Action::Done;
         }
-        let mut wake = self.returns;
+        let mut wake = self.next_return;
         let next = self
             .poll_leader(now, &mut wake)
             .or_else(|| self.poll_peers(now, &mut wake))
@@ -344,41 +349,45 @@
         self.flights.iter().any(|f| f.chunk == chunk)
     }
 
-    /// Chunks that this host brings into the region, from the origin or from the store's region.
+    /// Chooses a chunk that this host seeds into the region, from the origin or from a host of the origin's region.
+    ///
+    /// `wake` is lowered to the time from which another decision is possible, here and in the other `poll_` methods.
     fn poll_leader(&mut self, now: Millis, wake: &mut Millis) -> Option<(u32, Source)> {
-        let outside = |f: &&Flight| match f.from {
+        let from_outside = |f: &&Flight| match f.from {
             Source::Origin => true,
             Source::Peer(id) => self.topology.proximity(id).is_some_and(|p| !p.is_local()),
         };
-        if self.flights.iter().filter(outside).count() >= self.config.origin_requests {
+        if self.flights.iter().filter(from_outside).count() >= self.config.origin_requests {
             return None;
         }
-        let crosses = self
+        let other_region = self
             .topology
             .members()
             .iter()
             .any(|m| m.proximity == Proximity::Store);
-        let grace = *self.grace.get_or_insert(now + self.config.report_wait);
-        if grace > now && !self.peers.iter().all(|p| p.reported) {
-            *wake = grace.min(*wake);
+        let until = *self
+            .reports_until
+            .get_or_insert(now + self.config.report_wait);
+        if until > now && !self.peers.iter().all(|p| p.reported) {
+            *wake = until.min(*wake);
             return None;
         }
         if self.origin.1 > now {
             *wake = self.origin.1.min(*wake);
             return None;
         }
-        if let (true, false, Some(rate)) = (crosses, self.paced, self.config.cross_region) {
+        if let (true, false, Some(rate)) = (other_region, self.paced, self.config.cross_region) {
             self.window.pace(self.config.chunk, rate, now);
             self.paced = true;
         }
         let mut found = None;
-        for open in self.window.open(now, self.config.stall_timeout) {
+        for open in self.window.open_chunks(now, self.config.stall_timeout) {
             let chunk = open.chunk;
             if self.flights.iter().any(|f| f.chunk == chunk) {
                 continue;
             }
             let mut at = open.start(self.ranks[chunk as usize]);
-            if let Some(&(_, retry)) = self.crossing.get(&chunk) {
+            if let Some(&(_, retry)) = self.cross_region.get(&chunk) {
                 at = at.max(retry);
             }
             if at <= now {
@@ -387,8 +396,8 @@
             }
             *wake = at.min(*wake);
         }
-        let chunk = found.or_else(|| self.extra_copy(crosses))?;
-        if !crosses {
+        let chunk = found.or_else(|| self.extra_copy(other_region))?;
+        if !other_region {
             return Some((chunk, Source::Origin));
         }
         let sources = self
@@ -398,34 +407,34 @@
             .into_iter()
             .filter(|id| !self.corrupt.contains(id))
             .collect();
-        let attempt = self.crossing.entry(chunk).or_insert((0, now));
+        let attempt = self.cross_region.entry(chunk).or_insert((0, now));
         let source = live.get(attempt.0 % live.len().max(1)).copied();
         attempt.0 += 1;
         Some((chunk, source.map_or(Source::Origin, Source::Peer)))
     }
 
-    /// A chunk of which further copies from the origin save time.
-    fn extra_copy(&self, crosses: bool) -> Option<u32> {
-        if self.config.prefer == Prefer::Origin || crosses {
+    /// Chooses a chunk of which another copy from the origin saves time; none in other regions than the origin's.
+    fn extra_copy(&self, other_region: bool) -> Option<u32> {
+        if self.config.prefer == Prefer::Origin || other_region {
             return None;
         }
         let wanted = |c: &u32| {
-            (1..TIME_RANKS).contains(&self.ranks[*c as usize])
+            (1..ORIGIN_RANKS).contains(&self.ranks[*c as usize])
                 && !self.held.contains(*c)
                 && !self.in_flight(*c)
         };
-        self.window.extra().iter().copied().find(wanted)
+        self.window.extra_chunks().iter().copied().find(wanted)
     }
 
-    /// The rarest chunk that a neighbour can send.
+    /// Chooses the rarest chunk that a neighbour can send (rarest first).
     fn poll_peers(&mut self, now: Millis, wake: &mut Millis) -> Option<(u32, Source)> {
         if self.flights.len() >= self.config.all_requests {
             return None;
         }
         let mut usable: Vec<usize> = Vec::with_capacity(self.peers.len());
         for (i, p) in self.peers.iter().enumerate() {
-            if p.until > now {
-                *wake = p.until.min(*wake);
+            if p.backoff_until > now {
+                *wake = p.backoff_until.min(*wake);
             } else if p.flights < self.config.peer_requests && p.has.count() > 0 {
                 usable.push(i);
             }
@@ -437,7 +446,7 @@
         for chunk in 0..self.chunks.len() as u32 {
             let rarity = (
                 self.copies[chunk as usize],
-                self.ties[chunk as usize],
+                self.tie_breakers[chunk as usize],
                 chunk,
             );
             if rarity.0 == 0 || self.held.contains(chunk) || best.is_some_and(|b| b <= rarity) {
@@ -452,7 +461,8 @@
         Some((chunk, self.nearest(&usable, chunk)?))
     }
 
-    /// The nearest of some peers that hold a chunk, and among these the one with the fewest requests.
+    /// Returns the nearest of the `usable` peers (indexes of `peers`) that hold a chunk; of equally near ones, the one
+    /// with the fewest requests of this host in flight.
     fn nearest(&mut self, usable: &[usize], chunk: u32) -> Option<Source> {
         let rng = &mut self.rng;
         usable
@@ -463,7 +473,7 @@
             .map(|p| Source::Peer(p.id))
     }
 
-    /// A second source for a chunk whose fetch makes no progress, when nothing else is left to fetch.
+    /// Chooses a second source for a chunk whose fetch exceeds the stall time-out, when nothing else can be fetched.
     fn poll_stalled(&mut self, now: Millis, wake: &mut Millis) -> Option<(u32, Source)> {
         if self.flights.len() >= self.config.all_requests {
             return None;
@@ -482,7 +492,7 @@
             let usable: Vec<usize> = (0..self.peers.len())
                 .filter(|&i| {
                     let p = &self.peers[i];
-                    p.until <= now
+                    p.backoff_until <= now
                         && p.flights < self.config.peer_requests
                         && Source::Peer(p.id) != f.from
                 })
--- a/src/decide/chunk/topology.rs
+++ b/src/decide/chunk/topology.rs
@@ -1,21 +1,22 @@
-//! Neighbours and leaders, computed by each agent from its own host list.
+//! Neighbours of a host and leaders of chunks, computed by each agent from its own host list.
 
 use crate::base::{rendezvous, Digest, HashSet, ProcessName};
 
-/// Rings over the hosts of the zone; those after them are over the hosts of the region. Two neighbours in each ring make 8 peers in exchange. A union
-/// of random rings is connected and has the same degree everywhere, so that no uplink is over- or underused.
+/// Number of random rings over the hosts of the zone; further rings are over the hosts of the region. A host exchanges
+/// chunks with its two neighbours in each of four rings, 8 peers in all. The union of random rings is connected and
+/// gives every host the same degree, so that no uplink is over- or underused.
 const ZONE_RINGS: u64 = 2;
 
-/// Rings tried in all; a small zone gives fewer neighbours, and further rings over the region make up for them.
+/// Maximum number of rings; a small zone gives fewer neighbours, which further rings over the region make up for.
 const RINGS_MAX: u64 = 8;
 
-/// Peers in exchange.
+/// Maximum number of peers with which a host exchanges chunks.
 const NEIGHBOURS_MAX: usize = 8;
 
-/// Hosts of the store's region that a leader of another region asks for a chunk.
+/// Number of hosts of the origin's region from which a leader of another region tries to fetch a chunk.
 pub(super) const CROSS_SOURCES: usize = 3;
 
-/// Identifies a host by the hash of its name.
+/// Identifier of a host in the exchange: the hash of its process name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u64);
 
@@ -25,16 +26,16 @@
     }
 }
 
-/// Where a host is, seen from this one; nearest first.
+/// Location of another host relative to this one; nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Proximity {
     /// In the same zone.
     Zone,
     /// In another zone of the same region.
     Region,
-    /// In the store's region, which is not this one.
+    /// In the origin's region, which is not the region of this host.
     Store,
-    /// In a further region.
+    /// In a region that is neither this host's nor the origin's.
     Remote,
 }
 
@@ -45,12 +46,12 @@
     }
 }
 
-/// A host that takes part in the exchange.
+/// Host that takes part in the exchange of one version's chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Identity.
+    /// Identifier of the host.
     pub id: PeerId,
-    /// Where it is.
+    /// Location of the host relative to this one.
     pub proximity: Proximity,
 }
 
@@ -61,18 +62,18 @@
     x ^ (x >> 31)
 }
 
-/// Rendezvous score of a host for a key. Names and chunks are hashed once, because a rank needs the score of every
-/// host for every chunk.
+/// Returns the rendezvous score of a host for a key. It combines hashes of the name and of the chunk that are computed
+/// only once each, because ranks need the score of every host for every chunk.
 fn score(id: PeerId, key: u64) -> u64 {
     mix(id.0 ^ mix(key))
 }
 
-/// Returns the key of a chunk or manifest for rendezvous ranks.
+/// Returns the rendezvous key of a chunk or manifest: the first 8 bytes of its digest.
 fn key(id: &Digest) -> u64 {
     u64::from_le_bytes(id.0[..8].try_into().expect("a hash has 32 bytes"))
 }
 
-/// Hosts as this agent sees them; without duplicates, and without this agent itself.
+/// Other hosts that take part in the exchange, as this host's list has them; without duplicates and without this host.
 #[derive(Clone, Debug)]
 pub struct Topology {
     me: PeerId,
@@ -88,17 +89,18 @@
         Self { me, members }
     }
 
-    /// Returns the hosts.
+    /// Returns the other hosts, sorted by identifier.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Returns the place of a host, or `None` if it is not in the list.
+    /// Returns the location of a host relative to this one, or `None` if the list does not contain it.
     pub fn proximity(&self, id: PeerId) -> Option<Proximity> {
         let i = self.members.binary_search_by_key(&id, |m| m.id).ok()?;
         Some(self.members[i].proximity)
     }
 
+    /// Iterates over the other hosts of this host's region.
     fn local(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.members
             .iter()
@@ -106,14 +108,16 @@
             .map(|m| m.id)
     }
 
-    /// Returns this host's rank for a chunk or manifest among the hosts of its region; 0 is the leader.
+    /// Returns this host's rendezvous rank for a chunk or manifest among the hosts of its region; the leader has rank
+    /// 0.
     pub fn rank(&self, id: &Digest) -> usize {
         let key = key(id);
         let mine = score(self.me, key);
         self.local().filter(|&p| score(p, key) < mine).count()
     }
 
-    /// Returns hosts of the store's region by rank; empty in the store's region.
+    /// Returns at most `count` hosts of the origin's region by their rank for a chunk or manifest; none if this host is
+    /// in that region.
     pub fn sources(&self, id: &Digest, count: usize) -> Vec<PeerId> {
         let key = key(id);
         let store = self
@@ -125,8 +129,8 @@
         all.into_iter().take(count).map(|(_, id)| id).collect()
     }
 
-    /// Returns the host from which this one expects content that every host needs first, such as the manifest: the
-    /// parent in a tree of degree 4 over the ranks of the region.
+    /// Returns the host from which this one fetches content that every host needs first, such as the manifest: its
+    /// parent in a tree of degree 4 over the hosts of the region, ordered by rank. The host of rank 0 has none.
     pub fn parent(&self, id: &Digest) -> Option<PeerId> {
         let key = key(id);
         let mut all: Vec<_> = self
@@ -139,7 +143,7 @@
         Some(all[rank.checked_sub(1)? / 4].1)
     }
 
-    /// Returns the peers to exchange with, at most 8, passing over those in `avoid`.
+    /// Returns the peers with which this host exchanges chunks, at most 8 and none of `avoid`.
     pub fn neighbours(&self, manifest: &Digest, avoid: &HashSet<PeerId>) -> Vec<PeerId> {
         let live = |m: &&Member| m.proximity.is_local() && !avoid.contains(&m.id);
         let region: Vec<_> = self.members.iter().filter(live).copied().collect();
@@ -161,7 +165,7 @@
                 .map(|m| (score(m.id, key).wrapping_sub(mine), m.id))
                 .collect();
             order.sort_unstable();
-            // Next and previous host of the ring; one that is taken already is replaced by the one after it.
+            // The next and the previous host of the ring; if one is a neighbour already, the host beyond it is used.
             if let Some(&(_, p)) = order.iter().find(|(_, p)| !out.contains(p)) {
                 out.push(p);
             }
@@ -173,7 +177,7 @@
     }
 }
 
-/// Order in which leaders bring chunks into the region; the same for all hosts.
+/// Returns the order in which leaders seed chunks into the region; it is the same on all hosts.
 pub(super) fn seeding_order(chunks: &[Digest]) -> Vec<u32> {
     let mut order: Vec<u32> = (0..chunks.len() as u32).collect();
     order.sort_by_key(|&i| mix(key(&chunks[i as usize])));
--- a/src/decide/chunk/window.rs
+++ b/src/decide/chunk/window.rs
@@ -1,47 +1,52 @@
-//! Chunks that leaders may bring into the region.
+//! Window over the seeding order: the chunks that leaders may fetch into the region at present.
 
 use super::Bitmap;
 use crate::base::{Millis, Rate, Size};
 
-/// Window over the injection order, clocked by the chunks that become visible among the neighbours.
+/// Sliding window over the seeding order, which advances as neighbours report chunks.
 #[derive(Debug)]
 pub(super) struct Window {
     order: Vec<u32>,
     /// Position of each chunk in `order`.
-    places: Vec<usize>,
+    positions: Vec<usize>,
+    /// Chunks that this host or a neighbour is known to hold.
     seen: Bitmap,
-    /// Time at which a chunk came into the window or may come, by chunk; restarted when the origin fails.
+    /// Time at which each chunk entered the window or, with a rate limit, may be seeded; restarted when the origin
+    /// fails.
     since: Vec<Option<Millis>>,
-    /// Every chunk before this position of the order was seen.
+    /// Position in `order` before which every chunk was seen.
     head: usize,
-    /// Chunks that were held before the first decision, for example from an older version.
+    /// Chunks that were seen before the first decision, for example because an older version contains them.
     old: Option<Bitmap>,
-    /// Chunks before `head` that are not in `old`.
+    /// Number of chunks before `head` that are not in `old`.
     done: usize,
+    /// Number of chunks that may be in the window, without those whose leader seems to have stalled.
     size: usize,
     /// Smoothed time from a chunk's entry into the window until it is seen.
     delay: Millis,
 }
 
-/// A chunk in the window.
+/// Chunk in the window, which nobody is known to hold yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Open {
     pub(super) chunk: u32,
     since: Millis,
-    /// Chunks later in the order that were seen.
+    /// Number of chunks later in the seeding order that were seen.
     passed: usize,
-    /// Whether every later chunk was seen.
+    /// Whether every later chunk of the seeding order was seen.
     last: bool,
     /// Size of the window.
     size: usize,
-    /// Delays after which a chunk counts as stalled: when others overtook it, and in general.
+    /// Delay of each further rank if chunks later in the order were seen before this one.
     stall: Millis,
+    /// Delay of each further rank otherwise.
     slow: Millis,
 }
 
 impl Open {
-    /// Returns the time from which a rank may fetch the chunk. A chunk that twice the window overtook has a stalled
-    /// leader; otherwise the origin may be slow for all, or the chunk may be on its way to this host.
+    /// Returns the time from which the host of this rank may seed the chunk. If, for each lower rank, twice the
+    /// window's size of later chunks was seen, the hosts of these ranks have stalled; otherwise the origin may be slow
+    /// for all hosts, or reports of the chunk may still be on their way to this host.
     pub(super) fn start(&self, rank: usize) -> Millis {
         let stall = if self.passed >= 2 * self.size * rank {
             self.stall
@@ -57,13 +62,13 @@
 impl Window {
     pub(super) fn new(order: Vec<u32>, size: usize) -> Self {
         let len = order.len();
-        let mut places = vec![0; len];
-        for (place, &c) in order.iter().enumerate() {
-            places[c as usize] = place;
+        let mut positions = vec![0; len];
+        for (position, &c) in order.iter().enumerate() {
+            positions[c as usize] = position;
         }
         Self {
             order,
-            places,
+            positions,
             seen: Bitmap::new(len as u32),
             since: vec![None; len],
             head: 0,
@@ -74,8 +79,8 @@
         }
     }
 
-    /// Notes that some host of the region holds the chunk.
-    pub(super) fn see(&mut self, chunk: u32, now: Millis) {
+    /// Records that this host or a neighbour holds the chunk.
+    pub(super) fn mark_seen(&mut self, chunk: u32, now: Millis) {
         if !self.seen.insert(chunk) {
             return;
         }
@@ -85,8 +90,8 @@
         self.advance();
     }
 
-    /// Notes that the host that was seen with the chunk left or does not deliver.
-    pub(super) fn lose(&mut self, chunk: u32) {
+    /// Records that no neighbour is known to hold the chunk any more, because those that did left or do not deliver it.
+    pub(super) fn mark_lost(&mut self, chunk: u32) {
         if !self.seen.remove(chunk) {
             return;
         }
@@ -94,12 +99,13 @@
         if let Some(old) = &mut self.old {
             old.remove(chunk);
         }
-        if self.places[chunk as usize] < self.head {
+        if self.positions[chunk as usize] < self.head {
             (self.head, self.done) = (0, 0);
             self.advance();
         }
     }
 
+    /// Moves `head` over the chunks that were seen.
     fn advance(&mut self) {
         while let Some(&c) = self
             .order
@@ -111,9 +117,13 @@
         }
     }
 
-    /// Returns the chunks in the window. Chunks whose leader seems to have stalled do not count, so that a few dead
-    /// leaders do not hold up the others.
-    pub(super) fn open(&mut self, now: Millis, stall: Millis) -> impl Iterator<Item = Open> + '_ {
+    /// Returns the chunks in the window. Chunks whose leader seems to have stalled do not count towards its size, so
+    /// that a few failed leaders do not delay the others.
+    pub(super) fn open_chunks(
+        &mut self,
+        now: Millis,
+        stall: Millis,
+    ) -> impl Iterator<Item = Open> + '_ {
         let (seen, since, size) = (&self.seen, &mut self.since, self.size);
         let old = self.old.get_or_insert_with(|| seen.clone());
         let total = (seen.count() - old.count()) as usize;
@@ -147,26 +157,27 @@
             .take(size * 4)
     }
 
-    /// Spreads the chunks that are not seen yet over the time that a link needs for them. All leaders of a region compute
-    /// the same schedule, so that together they keep to the rate.
+    /// Spreads the seeding of chunks that were not seen yet over the time that a link of this rate takes to transfer
+    /// them. All leaders of a region compute the same schedule, so that together they keep to the rate.
     pub(super) fn pace(&mut self, chunk: Size, rate: Rate, now: Millis) {
         let missing = self.order.iter().filter(|&&c| !self.seen.contains(c));
-        for (place, &c) in missing.enumerate() {
-            let delay = (place as u64).saturating_mul(chunk.0 * 1000) / rate.0.max(1);
+        for (position, &c) in missing.enumerate() {
+            let delay = (position as u64).saturating_mul(chunk.0 * 1000) / rate.0.max(1);
             self.since[c as usize] = Some(now + Millis(delay));
         }
     }
 
-    /// Returns the chunks of which further copies may come from the origin: the latest ones while first copies are
-    /// under way, which need most of the origin's link, and any afterwards.
-    pub(super) fn extra(&self) -> &[u32] {
+    /// Returns the chunks of which further copies may be fetched from the origin: only the last ones before `head`
+    /// while first copies are still being fetched, because these need most of the origin's link, and all chunks
+    /// afterwards.
+    pub(super) fn extra_chunks(&self) -> &[u32] {
         if self.head == self.order.len() {
             return &self.order;
         }
         &self.order[self.head.saturating_sub(self.size / 8)..self.head]
     }
 
-    /// Restarts all delays, because the origin fails for every rank alike.
+    /// Restarts the delays of all chunks, because a failed origin fails for the hosts of every rank.
     pub(super) fn restart(&mut self, now: Millis) {
         for since in self.since.iter_mut().flatten() {
             *since = now.max(*since);
--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -1,24 +1,24 @@
-//! Graceful drain: no new work, no interruption of work in progress.
+//! Graceful shutdown: a draining process rejects new work and completes the work in progress.
 
 use crate::base::Millis;
 
-/// Time that a leaving process stays reachable.
+/// Minimum time for which a draining process stays reachable.
 ///
-/// Others may send new work for up to 3 s after the announcement. Within this time such work is refused explicitly;
-/// after an exit the sender could not tell whether its request had run.
-pub const LEAVE_TIME: Millis = Millis(3000);
+/// Other processes may send new work for up to 3 s after the drain was announced. Until then the process rejects such
+/// work explicitly; if it had exited, the sender could not tell whether its request had run.
+pub const DRAIN_NOTICE: Millis = Millis(3000);
 
-/// Work in progress and whether new work is taken.
+/// State of a graceful shutdown: whether new work is admitted, and how much work is in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Drain {
-    /// When the drain began; never reset.
+    /// Time at which the drain began; never reset.
     begun: Option<Millis>,
-    /// Work in progress.
+    /// Number of admitted pieces of work that have not ended.
     running: u32,
 }
 
 impl Drain {
-    /// Begins the drain; later calls change nothing.
+    /// Begins the drain; later calls have no effect.
     pub fn begin(&mut self, now: Millis) {
         self.begun.get_or_insert(now);
     }
@@ -28,8 +28,8 @@
         self.begun.is_some()
     }
 
-    /// Admits one piece of work; returns `false` once the drain has begun.
-    pub fn enter(&mut self) -> bool {
+    /// Admits one piece of work and counts it as running; returns `false` once the drain has begun.
+    pub fn admit(&mut self) -> bool {
         if self.is_begun() {
             return false;
         }
@@ -37,18 +37,19 @@
         true
     }
 
-    /// Ends one admitted piece of work.
-    pub fn leave(&mut self) {
+    /// Removes one admitted piece of work from the count of running ones.
+    pub fn finish(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Returns the work in progress.
+    /// Returns the number of admitted pieces of work that have not ended.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Returns whether the process may exit: nothing is in progress and [`LEAVE_TIME`] has passed.
+    /// Returns whether the process may exit: nothing is in progress and [`DRAIN_NOTICE`] has passed since the drain
+    /// began.
     pub fn is_done(&self, now: Millis) -> bool {
-        self.running == 0 && self.begun.is_some_and(|t| now >= t + LEAVE_TIME)
+        self.running == 0 && self.begun.is_some_and(|t| now >= t + DRAIN_NOTICE)
     }
 }
--- a/src/decide/feed/mod.rs
+++ b/src/decide/feed/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions of the control stream: who reads the log, who is whose parent, and when to write a snapshot.
+//! Distribution of the log to all processes: which processes read it, from which parents the others receive its
+//! records, and when a process writes a snapshot.
 
 mod snapshot;
 mod tree;
--- a/src/decide/feed/tree.rs
+++ b/src/decide/feed/tree.rs
@@ -1,29 +1,30 @@
-//! The tree in which records spread within a zone.
+//! Tree over which the records of the log are distributed within an availability zone.
 
 use crate::{
     base::{rendezvous, HashSet, ProcessName, Zone},
     wire::{HostEntry, HostState},
 };
 
-/// Processes of a zone that read the log.
+/// Number of processes of a zone that read the log.
 pub const READERS: usize = 2;
 
-/// Children of a process.
+/// Maximum number of children of a process in the tree.
 pub const DEGREE: usize = 16;
 
-/// Further candidates after the ancestors, in case a whole branch is gone or full.
-const SPARES: usize = 4;
+/// Number of further candidates after the ancestors, in case a whole branch has failed or is full.
+const SPARE_PARENTS: usize = 4;
 
-/// What a process does according to its host list.
+/// Position of a process in the tree, computed from its host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// Whether the process reads the log.
     pub reader: bool,
-    /// Processes to ask in order, the parent first. For readers these serve while the log is down.
+    /// Processes to subscribe to, tried in this order, the parent first. A reader subscribes to them only while the log
+    /// is unavailable.
     pub candidates: Vec<HostEntry>,
 }
 
-/// Sorts the live hosts by rendezvous rank; `me` counts as live.
+/// Sorts the live processes by their rendezvous scores for `key`; `me` counts as live.
 fn ranked<'a>(
     key: &str,
     hosts: impl Iterator<Item = &'a HostEntry>,
@@ -37,15 +38,16 @@
     ranked.into_iter().map(|(_, h)| h).collect()
 }
 
-/// Decides what the process `me` of `zone` does.
+/// Computes the position of the process `me` of `zone`.
 ///
-/// A process asks only processes of lower rank in its zone, so that equal lists give no cycles. Readers ask all other
-/// readers; the age in their items shows a cycle, because nobody in it reads the log.
+/// Other processes than readers subscribe only to processes of lower rank in their zone, so that equal host lists give
+/// no cycle. Readers may subscribe to all other readers; a cycle among them shows by the growing age of the items,
+/// because no process in it reads the log.
 pub fn plan(hosts: &[HostEntry], me: &ProcessName, zone: &Zone) -> Plan {
     let own = ranked("feed", hosts.iter().filter(|h| h.zone == *zone), me);
     let index = own.iter().position(|h| h.name == *me);
     let Some(index) = index.filter(|i| *i >= READERS) else {
-        // A process that the list does not name yet joins a zone that has its readers.
+        // A process that is not in the host list yet becomes no reader if the zone already has all its readers.
         if index.is_none() && own.len() >= READERS {
             return member(&own, own.len());
         }
@@ -62,8 +64,8 @@
         order.push(at);
     }
     order.extend(0..READERS);
-    // Spread the children of a lost branch over those before them instead of the readers alone.
-    order.extend((1..=SPARES).map(|n| index * n / (SPARES + 1)));
+    // Spreads the children of a failed branch over the processes of lower rank instead of over the readers alone.
+    order.extend((1..=SPARE_PARENTS).map(|n| index * n / (SPARE_PARENTS + 1)));
     let mut seen = HashSet::default();
     let candidates = order
         .into_iter()
@@ -88,7 +90,7 @@
         })
         .filter(|h| h.name != *me && h.state == HostState::Live)
         .collect();
-    // Each reader starts with another one.
+    // Each reader tries the others in its own order, to spread the load.
     let score = |h: &HostEntry| rendezvous(me.as_str().as_bytes(), h.name.as_str().as_bytes());
     candidates.sort_by_key(score);
     Plan {
@@ -97,7 +99,7 @@
     }
 }
 
-/// Returns whether `parent` is a live host of the zone with a lower rank than `me`.
+/// Returns whether `me` may subscribe to `parent`: a live process of the zone with a lower rank than `me`.
 pub fn may_follow(
     hosts: &[HostEntry],
     me: &ProcessName,
@@ -109,7 +111,7 @@
     rank(parent).is_some_and(|p| rank(me).is_none_or(|m| p < m))
 }
 
-/// Returns the rank of a process among the live hosts for writing snapshots.
+/// Returns the rank of a process, starting at 0, in which the live processes of all zones try to write a snapshot.
 pub fn snapshot_rank(hosts: &[HostEntry], me: &ProcessName) -> u64 {
     let all = ranked("snapshot", hosts.iter(), me);
     let rank = all.iter().position(|h| h.name == *me);
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -1,47 +1,50 @@
-//! Lease holder: acquires, renews and releases a lease, and expires the leases of holders that stopped renewing.
+//! Lease holder: decides when a process acquires, renews and releases a lease in the replicated state, and when it
+//! expires the lease of a holder that stopped renewing.
 
 use crate::{
     base::{Fence, Instance, Millis, Offset, ProcessName},
     kernel::{Expire, Lease, LeaseOp},
 };
 
-/// Term of a lease.
+/// Time for which a lease is valid after each renewal.
 pub const LEASE_TERM: Millis = Millis(6000);
 
-/// Time beyond the term after which the lease of another holder is expired.
+/// Time to wait beyond the term before the lease of another holder is expired.
 ///
-/// Covers a drift of 5% between the two clocks over the term and 200 ms for timer granularity.
+/// Covers 5% drift between the clocks of both processes over the term, and 200 ms of timer granularity.
 pub const EXPIRY_MARGIN: Millis = Millis(500);
 
-/// What the holder does next.
+/// Next step of a process that wants to hold a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Call [`LeaseHolder::append_sent`], append the operation, and observe its effect.
+    /// Call [`LeaseHolder::append_sent`], append the operation to the log, and pass the lease that results to
+    /// [`LeaseHolder::observe`].
     Append(LeaseOp),
-    /// The lease is held; commands may be sent after [`LeaseHolder::command_fence`].
+    /// This process holds the lease with this fencing token; [`LeaseHolder::command_fence`] must still be called before
+    /// each command.
     Ready(Fence),
-    /// Another process holds the lease; observe again within this time.
+    /// Another process holds the lease; call [`LeaseHolder::observe`] again within this time.
     Wait(Millis),
 }
 
-/// A lease as it was last read.
+/// Lease as last read from the replicated state.
 #[derive(Clone, Debug)]
 struct Seen {
     lease: Lease,
-    /// When its last renewal was read.
+    /// Time at which this value was first read.
     at: Millis,
 }
 
-/// An own lease.
+/// Lease that this process holds.
 #[derive(Clone, Copy, Debug)]
 struct Own {
     fence: Fence,
     renewed: Offset,
-    /// End of the term, counted from before the append was sent.
+    /// End of the term, which is counted from the time just before the append was sent.
     until: Millis,
 }
 
-/// One process's view of one lease.
+/// What one process knows of one lease.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     resource: String,
@@ -49,12 +52,12 @@
     instance: Instance,
     seen: Option<Seen>,
     own: Option<Own>,
-    /// When the earliest append was sent whose effect is not known yet.
+    /// Time at which the earliest append was sent whose effect is not known yet.
     unsettled: Option<Millis>,
 }
 
 impl LeaseHolder {
-    /// Creates a holder that has not observed anything yet.
+    /// Creates a holder for `resource` that has not read the lease yet.
     pub fn new(resource: String, holder: ProcessName, instance: Instance) -> Self {
         Self {
             resource,
@@ -66,12 +69,12 @@
         }
     }
 
-    /// Returns what is leased.
+    /// Returns the name of the leased resource.
     pub fn resource(&self) -> &str {
         &self.resource
     }
 
-    /// Takes note of the lease as it was read at `now` or earlier.
+    /// Updates this view with the lease as it was read at `now` or earlier; `None` if nobody holds the lease.
     pub fn observe(&mut self, now: Millis, lease: Option<&Lease>) {
         let Some(lease) = lease else {
             (self.seen, self.own) = (None, None);
@@ -98,22 +101,23 @@
         });
     }
 
-    /// Takes note that an append is about to be sent.
+    /// Records that an append is about to be sent; call immediately before sending it.
     pub fn append_sent(&mut self, now: Millis) {
         self.unsettled.get_or_insert(now);
     }
 
-    /// Takes note that the effect of all appends is known; call after [`LeaseHolder::observe`].
+    /// Records that the effects of all appends sent so far are known; call after [`LeaseHolder::observe`].
     pub fn appends_settled(&mut self) {
         self.unsettled = None;
     }
 
-    /// Returns the token if a command may be sent at `now`; call immediately before each command.
+    /// Returns the fencing token if a command may be sent at `now`, that is, if this process holds the lease and its
+    /// term has not ended; call immediately before each command.
     pub fn command_fence(&self, now: Millis) -> Option<Fence> {
         self.own.filter(|o| now < o.until).map(|o| o.fence)
     }
 
-    /// Returns what to do next to hold the lease.
+    /// Returns the next step towards holding the lease.
     pub fn next(&self, now: Millis) -> LeaseStep {
         let resource = self.resource.clone();
         let Some(seen) = &self.seen else {
@@ -125,7 +129,7 @@
             });
         };
         if let Some(own) = self.own {
-            // Two thirds of the term remain for the append to succeed.
+            // Renews once a third of the term has passed, so that two thirds remain for the append to succeed.
             return if now + Millis(LEASE_TERM.0 * 2 / 3) < own.until {
                 LeaseStep::Ready(own.fence)
             } else {
@@ -146,7 +150,7 @@
         }))
     }
 
-    /// Returns the operation that gives the lease back, if it is held.
+    /// Returns the operation that releases the lease, or `None` if this process does not hold it.
     pub fn release(&self) -> Option<LeaseOp> {
         self.own.map(|o| LeaseOp::Release {
             resource: self.resource.clone(),
@@ -155,14 +159,15 @@
     }
 }
 
-/// Greatest fencing token that was used, for endpoints that check none themselves.
+/// Rejects commands with outdated fencing tokens on behalf of endpoints that do not check tokens themselves.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FenceGate {
+    /// Greatest token of an admitted command.
     greatest: Fence,
 }
 
 impl FenceGate {
-    /// Admits a command; returns `false` if a command with a greater token was admitted before.
+    /// Returns whether a command with this token may be sent: `false` if one with a greater token was admitted before.
     pub fn admit(&mut self, fence: Fence) -> bool {
         if fence < self.greatest {
             return false;
--- a/tests/burst_size.rs
+++ b/tests/burst_size.rs
@@ -1,4 +1,4 @@
-//! How many hosts hold a version, who keeps the copy, and the drain before the credits end.
+//! Scaling under load: how many hosts load a version, which of them keep the copy, and the drain before credits end.
 
 #[path = "common/agent/mod.rs"]
 mod common;
@@ -39,7 +39,7 @@
     "v1".parse().expect("a name")
 }
 
-/// Names of `n` agents in rank order.
+/// Returns the names of `n` agents in rank order.
 fn ranked(n: usize) -> Vec<ProcessName> {
     let mut all: Vec<_> = (0..n).map(name).collect();
     let every = all.clone();
@@ -61,7 +61,7 @@
     }
 }
 
-/// A report of an agent that serves `version` with `load` of 10 requests.
+/// Returns a report of an agent that serves `version` with `load` requests at a capacity of 10.
 fn report(
     agent: &ProcessName,
     sequence: u64,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Reports of all agents ahead at `now`, then a decision of an agent without a version.
+/// Reports the loads of the agents of the ranks before at `now`, then decides for an agent without a version.
 fn step(
     g: &mut ReplicaScaler,
     p: &AgentRank,
@@ -101,7 +101,7 @@
     g.tick(Millis(now), Some(p), r, None)
 }
 
-/// Guards against defaults that take the version from hosts of a deployment that sets nothing.
+/// Guards against defaults under which some hosts of a deployment without settings would not load or keep the version.
 #[test]
 fn defaults_load_and_keep_everywhere() {
     let b = Burst::default();
@@ -120,16 +120,16 @@
     }
 }
 
-/// Guards against a host that loads because it does not know its rank yet.
+/// Guards against a host that loads the version although it does not know its rank yet.
 #[test]
 fn unlisted_agent_waits_for_its_rank() {
     let got = ReplicaScaler::default().tick(Millis(0), None, &rule(1, 3, ALL_HOSTS), None);
     assert_eq!((got.load, got.watch.len()), (false, 0));
 }
 
-/// Guards against growth that skips ranks, passes the ceiling, or watches more than two agents.
+/// Guards against scaling that skips ranks, exceeds the ceiling, or watches more than two agents.
 #[test]
-fn growth_is_a_chain_up_to_the_ceiling() {
+fn replicas_are_added_rank_by_rank_up_to_the_ceiling() {
     let (all, r) = (ranked(8), rule(2, 5, ALL_HOSTS));
     let mut agents: Vec<_> = all
         .iter()
@@ -161,7 +161,8 @@
     }
 }
 
-/// Guards against copies for short peaks, for one loaded agent of two, and for late or missing reports.
+/// Guards against copies that start for a short peak, when only one of the two watched agents is under load, or when
+/// reports are stale or missing.
 #[test]
 fn only_sustained_load_of_both_starts_a_copy() {
     let (all, r) = (ranked(4), rule(2, 4, ALL_HOSTS));
@@ -178,7 +179,7 @@
         assert_eq!(got.load, now == SUSTAINED_LOAD.0, "{now}");
         assert_eq!(got.scaled_up, got.load);
     }
-    // A dip between two decisions counts as well.
+    // A drop of the load between two decisions restarts the measurement as well.
     let mut between = ReplicaScaler::default();
     for now in (0..=SUSTAINED_LOAD.0).step_by(200) {
         assert!(!step(&mut between, &p, &r, now, &[7, 7]).load || now == SUSTAINED_LOAD.0);
@@ -193,7 +194,8 @@
     assert!(!silent.tick(Millis(4000), Some(&p), &r, None).load);
 }
 
-/// Guards against a started copy that is abandoned at the next dip, and a serving host that keeps an old version.
+/// Guards against a started copy that is abandoned when the load drops, and against a host that goes on to serve an old
+/// version because there is no load.
 #[test]
 fn started_host_goes_on_without_load() {
     let (all, r) = (ranked(4), rule(1, 3, ALL_HOSTS));
@@ -210,7 +212,10 @@
     };
     assert!(g.tick(Millis(9000), Some(&p), &next, Some(&v1())).load);
     let restarted = ReplicaScaler::default().tick(Millis(0), Some(&p), &next, Some(&v1()));
-    assert!(restarted.load, "the endpoint outlived the agent");
+    assert!(
+        restarted.load,
+        "the endpoint serves a version from before the agent restarted"
+    );
     let above = place(&all[3], &all);
     assert!(
         !ReplicaScaler::default()
@@ -219,7 +224,7 @@
     );
 }
 
-/// Guards against an agent that counts predecessors that serve another version or whose load is unknown.
+/// Guards against scaling because of watched agents that serve another version or whose load is unknown.
 #[test]
 fn other_versions_and_unknown_capacity_do_not_count() {
     let (all, r) = (ranked(3), rule(1, 3, ALL_HOSTS));
@@ -238,16 +243,16 @@
     }
 }
 
-/// Guards against views that differ by one host and cost more than one extra copy, or a missing one.
+/// Guards against host lists that differ by one host and so cause more than one extra copy, or one copy too few.
 #[test]
-fn views_that_differ_by_one_host_cost_one_copy() {
+fn host_lists_that_differ_by_one_host_cost_one_copy() {
     let all = ranked(12);
     for replicas in 1..=6 {
         for missing in &all {
             let without: Vec<_> = all.iter().filter(|a| *a != missing).cloned().collect();
             let loads = |a: &ProcessName, view: &[ProcessName]| place(a, view).rank < replicas;
-            // Each agent may have either view: the fewest load if only those do that would in both, the most if all do
-            // that would in one.
+            // Each agent may have either list: the fewest agents load the version if only those do that would with both
+            // lists, the most if all do that would with one of them.
             let fewest = all.iter().filter(|a| loads(a, &all) && loads(a, &without));
             let most = all.iter().filter(|a| loads(a, &all) || loads(a, &without));
             assert_eq!(fewest.count(), replicas, "{missing}");
@@ -256,7 +261,8 @@
     }
 }
 
-/// Guards against copies given back while the hosts ahead lack the version, and seeds that do not take over.
+/// Guards against copies that are released while hosts of the ranks before do not serve the version, and against an
+/// agent that becomes a seed and does not keep the copy again.
 #[test]
 fn only_seeds_keep_the_copy() {
     let (all, r) = (ranked(5), rule(ALL_HOSTS, ALL_HOSTS, 2));
@@ -271,27 +277,34 @@
     let mut g = ReplicaScaler::default();
     let tick =
         |g: &mut ReplicaScaler, now, p: &AgentRank, held| g.tick(Millis(now), Some(p), &r, held);
-    assert!(tick(&mut g, 0, &p, None).keep, "not confirmed");
+    assert!(
+        tick(&mut g, 0, &p, None).keep,
+        "the endpoint has not reported the version"
+    );
     let got = tick(&mut g, 200, &p, Some(&held));
     assert!(got.keep && got.watch == p.ahead, "{got:?}");
     g.report(Millis(300), report(&all[1], 1, 0, Some(v1())));
     g.report(Millis(300), report(&all[0], 1, 0, None));
-    assert!(tick(&mut g, 400, &p, Some(&held)).keep, "one seed lacks it");
+    assert!(
+        tick(&mut g, 400, &p, Some(&held)).keep,
+        "one seed does not serve the version"
+    );
     g.report(Millis(500), report(&all[0], 2, 0, Some(v1())));
     let got = tick(&mut g, 600, &p, Some(&held));
     assert!(!got.keep && got.watch.is_empty(), "{got:?}");
     assert!(
         !tick(&mut g, 60_000, &p, Some(&held)).keep,
-        "final while ranks stay"
+        "a release is final while ranks do not change"
     );
     let fewer = place(&all[2], &all[1..]);
     assert!(
         tick(&mut g, 60_200, &fewer, Some(&held)).keep,
-        "became a seed"
+        "the agent became a seed"
     );
 }
 
-/// Guards against hosts that leave at once, after half the lead, or follow each other as ranks shift.
+/// Guards against hosts that drain all at the same time, later than half the lead, or earlier because ranks shift when
+/// other hosts leave.
 #[test]
 fn credit_end_spreads_the_drains() {
     let (ends, lead) = (Millis(10_000_000), Millis(600_000));
@@ -318,7 +331,8 @@
     assert_eq!(left, want);
 }
 
-/// Guards against a drain without an end, and against hosts that stay because the list lacks them or the end moved.
+/// Guards against a drain although the credits do not end, against hosts that do not drain because the host list lacks
+/// them, and against an end that was moved without effect.
 #[test]
 fn credit_end_follows_the_settings() {
     let (ends, lead) = (Millis(10_000_000), Millis(600_000));
@@ -342,21 +356,22 @@
     );
 }
 
-/// Guards against settings under which every host would leave at once.
+/// Guards against settings under which every host would drain at once.
 #[test]
-fn past_end_is_refused() {
+fn past_end_of_credits_is_rejected() {
     let text = |ends: u32| {
         format!("regions:\n  east:\n    settings:\n      burst.ends: {ends}\n    services:\n      drafts: {{}}\n")
     };
-    let found = Tree::parse(&text(1_700_000_000)).expect_err("refused");
+    let found =
+        Tree::parse(&text(1_700_000_000)).expect_err("an end of credits in the past is rejected");
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].reason.contains("in the past"), "{found:?}");
     for ends in [0, u32::MAX] {
-        Tree::parse(&text(ends)).expect("accepted");
+        Tree::parse(&text(ends)).expect("no end of credits, or one in the future, is accepted");
     }
 }
 
-/// Starts an agent whose peer address is known before, because the host list announces it.
+/// Starts an agent with a peer address that is chosen before the start, because the host list announces it.
 fn start(
     agent: &ProcessName,
     platform: std::net::SocketAddr,
@@ -382,8 +397,8 @@
     panic!("no free port");
 }
 
-/// Guards against a host above the replica count that loads without load, or never, and against a copy that is kept by a
-/// host that is no seed or stays lost when that host becomes one.
+/// Guards against a host beyond `burst.replicas` that loads the version without load or does not load it under load,
+/// and against a host that keeps its copy although it is no seed, or does not restore it when it becomes one.
 #[tokio::test]
 async fn further_agent_loads_under_load_only() {
     let platform = Platform::default();
@@ -418,7 +433,7 @@
     })
     .await;
     assert!(engines[1].state().loads.is_empty());
-    // One of eight slots is in use while the answer is held back.
+    // One of eight slots is in use while the engine holds its response back.
     engines[0].open.send_replace(0);
     let client = Client::new(&agents[0]);
     let began = Clock::now();
@@ -432,7 +447,7 @@
     drop(call);
     engines[0].open.send_replace(u64::MAX);
     assert_eq!(engines[0].state().loads.len(), 1);
-    // The second agent is no seed until the first one leaves.
+    // The second agent is no seed until the first one drains.
     until("the release", || agents[1].status.load().chunks.is_none()).await;
     assert_eq!(agents[0].status.load().chunks, Some((5, 5)));
     agents[0].advance(Phase::Draining);
@@ -447,9 +462,9 @@
     );
 }
 
-/// Guards against an agent that stays when the credits of its region end.
+/// Guards against an agent that does not drain before the credits of its region end.
 #[tokio::test]
-async fn agent_drains_by_itself() {
+async fn agent_drains_before_credits_end() {
     let platform = Platform::default();
     let at = platform.serve().await;
     let dir = tempfile::tempdir().expect("a directory");
@@ -458,7 +473,7 @@
     let ctx = start(&name(0), at, engine.serve().await, &files);
     let run = tokio::spawn(agent::run(ctx.clone()));
     until("the list", || ctx.replica.hosts().hosts.len() == 1).await;
-    // An hour is left before the lead, so that a slow machine does not reach it.
+    // The lead begins in an hour, so that the test does not reach it on a slow machine either.
     let soon = sesamewing::base::wall_ms() / 1000 + 7 * 86_400 + 3600;
     platform.publish(
         "/east",
--- a/tests/chunk_schedule/baseline.rs
+++ b/tests/chunk_schedule/baseline.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is compared with.
+//! Baseline with which the chunk scheduler is compared: random choice of chunk and peer.
 
 use sesamewing::{
     base::{HashMap, Millis},
@@ -7,21 +7,22 @@
 
 use super::swarm::{id, Policy, Setup, CHUNKS};
 
-/// Fetches of a baseline node at once.
+/// Maximum number of fetches in progress of a baseline node.
 const PARALLEL: usize = 8;
 
-/// Baseline: a random missing chunk from a random peer that has it, or else from the origin.
+/// Fetches a random missing chunk from a random peer that holds it, or from the origin if none does.
 pub(crate) struct RandomPolicy {
     peers: Vec<PeerId>,
     has: HashMap<PeerId, Vec<bool>>,
     held: Vec<bool>,
     flights: Vec<u32>,
     rng: fastrand::Rng,
-    busy: Millis,
+    /// End of the backoff after a failed fetch.
+    backoff_until: Millis,
 }
 
 impl RandomPolicy {
-    /// Chooses up to `peers` random peers; with none, everything comes from the origin.
+    /// Creates a node with up to `peers` random peers; without peers it fetches everything from the origin.
     pub(crate) fn new(setup: &Setup, i: usize, peers: usize) -> Self {
         let mut rng = fastrand::Rng::with_seed(setup.seed * 1000 + i as u64);
         let others = (0..setup.sites.len()).filter(|&j| j != i);
@@ -36,7 +37,7 @@
             held: vec![false; CHUNKS],
             flights: Vec::new(),
             rng,
-            busy: Millis::ZERO,
+            backoff_until: Millis::ZERO,
         }
     }
 }
@@ -54,7 +55,7 @@
             }
             Event::Failed(chunk, ..) => {
                 self.flights.retain(|&c| c != chunk);
-                self.busy = now + Millis(50);
+                self.backoff_until = now + Millis(50);
             }
             _ => {}
         }
@@ -64,8 +65,8 @@
         if self.held.iter().all(|&h| h) {
             return Action::Done;
         }
-        if self.busy > now || self.flights.len() >= PARALLEL {
-            return Action::Wait(self.busy.max(now + Millis(1)));
+        if self.backoff_until > now || self.flights.len() >= PARALLEL {
+            return Action::Wait(self.backoff_until.max(now + Millis(1)));
         }
         let missing: Vec<u32> = (0..CHUNKS as u32)
             .filter(|&c| !self.held[c as usize] && !self.flights.contains(&c))
--- a/tests/chunk_schedule/main.rs
+++ b/tests/chunk_schedule/main.rs
@@ -1,6 +1,7 @@
-//! Decisions of the chunk scheduler: time to N replicas against the bound of the links, and copies from the origin.
+//! Simulation of the chunk scheduler: time until N hosts hold a version, relative to the lower bound that the links
+//! give, and the number of copies that the origin sends.
 //!
-//! The links are those of the design's target: in the time T each host link carries two copies and the origin's four.
+//! The links are those of the design's target: in the time T each host's link carries two copies and the origin's four.
 
 mod baseline;
 mod swarm;
@@ -13,7 +14,7 @@
 };
 use swarm::{scheduler, Outcome, Setup, Swarm, HOST};
 
-/// Runs a setup with some seeds and returns the worst of each figure.
+/// Runs a setup with the seeds 1 to `seeds` and returns the worst value of each figure.
 fn worst(mut setup: Setup, seeds: u64) -> Outcome {
     let mut all = Outcome::default();
     for seed in 1..=seeds {
@@ -39,7 +40,8 @@
     assert!(out.copies <= copies, "copies from the origin: {out:?}");
 }
 
-/// Guards against a policy that leaves links idle or loads the origin, at the target's bounds.
+/// Guards against scheduling that leaves links idle or sends too many requests to the origin; the limits are those of
+/// the design's target.
 #[test]
 fn bound_with_25_hosts() {
     check(25, Prefer::Origin, 1.25);
@@ -68,9 +70,10 @@
     check(200, Prefer::Time, 1.35);
 }
 
-/// Guards against a preference without effect: with slow uplinks the origin's copies save time.
+/// Guards against a preference for time that has no effect: with slow uplinks, further copies from the origin save
+/// time.
 #[test]
-fn time_uses_the_origin() {
+fn preferring_time_uses_the_origin() {
     let mut setup = Setup::new(10, Prefer::Origin);
     setup.up = Rate(HOST.0 / 2);
     let origin = worst(setup.clone(), 3);
@@ -81,9 +84,9 @@
     assert!(time.copies <= 4.0 && origin.copies <= 1.05);
 }
 
-/// Guards against a policy that is no better than none: everything from the origin, and random choice.
+/// Guards against scheduling that is no better than fetching everything from the origin or choosing at random.
 #[test]
-fn baselines_are_slower() {
+fn scheduler_is_faster_than_baselines() {
     let setup = Setup::new(50, Prefer::Origin);
     let ours = Swarm::new(setup.clone(), scheduler).run();
     let origin = Swarm::new(setup.clone(), |s, i| RandomPolicy::new(s, i, 0)).run();
@@ -95,7 +98,8 @@
     assert!(ours.copies < random.copies);
 }
 
-/// Guards against baselines that outrun the scheduler at the size that the benchmark names; prints the baseline.
+/// Guards against a random baseline that is faster than the scheduler at the number of hosts in `BASELINE_HOSTS`, which
+/// the benchmark sets; prints both figures.
 #[test]
 fn baseline_at_size() {
     let hosts =
@@ -110,7 +114,8 @@
     assert!(ours.ratio < random.ratio);
 }
 
-/// Guards against several copies over the link between the regions, and against leaders that exceed its share.
+/// Guards against more than one copy over the link between the regions, and against leaders that together exceed the
+/// configured share of that link.
 #[test]
 fn one_copy_crosses_regions() {
     for hosts in [6, 100] {
@@ -125,7 +130,7 @@
     }
 }
 
-/// Guards against chunks that nobody brings in because their leader is dead but still in the host list.
+/// Guards against chunks that no host seeds because their leader has failed but is still in the host list.
 #[test]
 fn dead_leaders_are_replaced() {
     let mut setup = Setup::new(100, Prefer::Origin);
@@ -135,7 +140,8 @@
     assert!(out.ratio <= 1.5 && out.copies <= 1.25, "{out:?}");
 }
 
-/// Guards against a stop of the whole copy, and a rush of all ranks, when the origin fails for 10 s.
+/// Guards against a copy that does not recover after the origin failed for 10 s, and against hosts of all ranks that
+/// then fetch the same chunks from it.
 #[test]
 fn origin_outage_costs_few_copies() {
     let mut setup = Setup::new(50, Prefer::Origin);
@@ -146,7 +152,7 @@
     assert!(out.ratio <= 1.25 + outage && out.copies <= 1.25, "{out:?}");
 }
 
-/// Guards against fetching chunks that an older version has.
+/// Guards against fetching chunks that the host already holds from an older version.
 #[test]
 fn shared_chunks_are_not_fetched() {
     let mut setup = Setup::new(50, Prefer::Origin);
@@ -156,9 +162,9 @@
     assert!(out.copies <= 1.05, "{out:?}");
 }
 
-/// Guards against leaders that wait for ever because a host falsely claims to hold every chunk.
+/// Guards against leaders that wait for ever because a host falsely reports that it holds every chunk.
 #[test]
-fn false_claims_do_not_stop_leaders() {
+fn false_reports_do_not_stop_leaders() {
     let setup = Setup::new(2, Prefer::Origin);
     let mut node = scheduler(&setup, 0);
     let peer = node.neighbours().next().expect("the other host");
@@ -184,7 +190,8 @@
     panic!("the leader never fetched from the origin");
 }
 
-/// Guards against a fetch that goes on although its chunk came from elsewhere, and against uncounted duplicates.
+/// Guards against a fetch that is not cancelled although another source delivered its chunk, and against duplicates
+/// that are not counted.
 #[test]
 fn late_fetches_are_cancelled() {
     let setup = Setup::new(3, Prefer::Origin);
@@ -202,7 +209,7 @@
     assert_eq!(node.poll(Millis(0)), Action::Fetch(0, from));
     node.handle(Millis(10), Event::Has(peers[1], vec![0]));
     let Action::Wait(at) = node.poll(Millis(10)) else {
-        panic!("a second fetch before the stall delay");
+        panic!("the chunk was requested from a second source before the stall time-out");
     };
     assert_eq!(node.poll(at), Action::Fetch(0, other));
     node.handle(at, Event::Arrived(0, other));
--- a/tests/chunk_schedule/swarm.rs
+++ b/tests/chunk_schedule/swarm.rs
@@ -1,7 +1,7 @@
-//! N schedulers in virtual time, with links that transfers share.
+//! Simulation of N schedulers in virtual time, with links that transfers share.
 //!
-//! Time moves in ticks. In each tick a link divides its bytes among the transfers that use it, in a few rounds so that
-//! what one transfer cannot use goes to others. Messages take one tick.
+//! Time advances in ticks. In each tick a link divides its bytes among the transfers that use it, in several rounds, so
+//! that others get what one transfer cannot use. A message takes one tick.
 
 use std::collections::VecDeque;
 
@@ -15,18 +15,21 @@
 
 pub(crate) const CHUNK: Size = Size(256 << 10);
 pub(crate) const CHUNKS: usize = 256;
-/// 80% of 20 Mbit/s.
+/// Rate of a host's link in each direction: 80% of 20 Mbit/s.
 pub(crate) const HOST: Rate = Rate(2_000_000);
 
+/// Length of a tick in milliseconds.
 const TICK: u64 = 4;
-/// Limits of `weights::upload`.
+/// Upload slots and queue length of a host, as in `weights::upload`.
 const SLOTS: usize = 8;
 const QUEUE: usize = 4;
 
+/// Time in milliseconds after which a queued request fails as busy.
 const QUEUE_TIMEOUT: u64 = 1000;
+/// Delay in milliseconds of reports of held chunks, which a host collects before it sends them.
 const COALESCE: u64 = 10;
 
-/// What a node fetches next.
+/// Decides what a simulated node fetches next.
 pub(crate) trait Policy {
     fn handle(&mut self, now: Millis, event: Event);
     fn poll(&mut self, now: Millis) -> Action;
@@ -47,7 +50,7 @@
     }
 }
 
-/// Where a node is: region and zone.
+/// Location of a node: region and zone.
 pub(crate) type Site = (usize, usize);
 
 #[derive(Clone, Debug)]
@@ -58,11 +61,11 @@
     pub(crate) crossing: Option<Rate>,
     pub(crate) up: Rate,
     pub(crate) seed: u64,
-    /// Nodes that never answer, although the host list has them.
+    /// Nodes that never respond, although the host list contains them.
     pub(crate) dead: Vec<usize>,
-    /// Time in which the origin refuses everything.
+    /// Start and end, in milliseconds, of the time in which the origin fails every request.
     pub(crate) outage: (u64, u64),
-    /// Chunks that every node has from an older version.
+    /// Number of chunks that every node holds from an older version.
     pub(crate) shared: usize,
 }
 
@@ -86,7 +89,7 @@
         self.sites.len() - self.dead.len()
     }
 
-    /// Shortest possible time in milliseconds.
+    /// Returns a lower bound of the time in milliseconds until all live nodes hold the version, given by the links.
     pub(crate) fn bound(&self) -> f64 {
         let size = ((CHUNKS - self.shared) as u64 * CHUNK.0) as f64;
         let (n, up, origin) = (self.live() as f64, self.up.0 as f64, self.origin.0 as f64);
@@ -102,10 +105,11 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcome {
+    /// Time until all live nodes held the version, divided by the lower bound.
     pub(crate) ratio: f64,
-    /// Copies fetched from the origin.
+    /// Number of copies fetched from the origin.
     pub(crate) copies: f64,
-    /// Copies that came into the second region.
+    /// Number of copies fetched from the other region.
     pub(crate) crossed: f64,
     pub(crate) duplicates: u32,
     pub(crate) busy: u32,
@@ -113,7 +117,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Transfer {
-    /// Node, or `None` for the origin.
+    /// Sending node, or `None` for the origin.
     from: Option<usize>,
     to: usize,
     chunk: u32,
@@ -124,7 +128,7 @@
 enum Message {
     Request(Transfer),
     Cancel(Transfer),
-    Tell(usize, Event),
+    Notify(usize, Event),
 }
 
 pub(crate) struct Swarm<P> {
@@ -206,7 +210,7 @@
         }
     }
 
-    /// Keeps a subscription to each neighbour, as the driver does.
+    /// Subscribes a node to exactly its neighbours, as the driver does.
     fn subscribe(&mut self, i: usize) {
         let peers = self.nodes[i].peers();
         if peers == self.following[i] {
@@ -222,11 +226,11 @@
             let held = self.held[j].iter().enumerate();
             let has = held.filter(|(_, h)| **h).map(|(c, _)| c as u32).collect();
             if self.setup.dead.contains(&j) {
-                self.post(Message::Tell(i, Event::Gone(peer)));
+                self.post(Message::Notify(i, Event::Gone(peer)));
                 continue;
             }
             self.subscribers[j].push(i);
-            self.post(Message::Tell(i, Event::Has(peer, has)));
+            self.post(Message::Notify(i, Event::Has(peer, has)));
         }
     }
 
@@ -240,7 +244,7 @@
     fn publish(&mut self, node: usize, event: Event) {
         for &s in &self.subscribers[node] {
             let at = self.now + COALESCE;
-            self.late.push_back((at, Message::Tell(s, event.clone())));
+            self.late.push_back((at, Message::Notify(s, event.clone())));
         }
     }
 
@@ -248,7 +252,7 @@
         self.mail.push_back((self.now + TICK, message));
     }
 
-    /// Runs until all live nodes hold everything, at most thirty times the bound.
+    /// Runs until all live nodes hold every chunk, but at most for 30 times the lower bound.
     pub(crate) fn run(mut self) -> Outcome {
         let bound = self.setup.bound();
         let live: Vec<_> = (0..self.nodes.len())
@@ -278,7 +282,7 @@
                 match queue.pop_front().expect("checked above").1 {
                     Message::Request(t) => self.request(t),
                     Message::Cancel(t) => self.cancel(t),
-                    Message::Tell(i, event) => {
+                    Message::Notify(i, event) => {
                         self.arrived(i, &event);
                         self.nodes[i].handle(Millis(self.now), event);
                         self.wake[i] = 0;
@@ -310,7 +314,7 @@
 
     fn fail(&mut self, t: Transfer, fault: Fault) {
         let from = t.from.map_or(Source::Origin, |j| Source::Peer(self.ids[j]));
-        self.post(Message::Tell(t.to, Event::Failed(t.chunk, from, fault)));
+        self.post(Message::Notify(t.to, Event::Failed(t.chunk, from, fault)));
     }
 
     fn request(&mut self, t: Transfer) {
@@ -347,7 +351,7 @@
         }
     }
 
-    /// Moves the bytes of one tick.
+    /// Transfers the bytes of one tick.
     fn transfer(&mut self) {
         let n = self.nodes.len();
         let budget = |rate: Rate| rate.0 as f64 * TICK as f64 / 1000.0;
@@ -393,7 +397,7 @@
             });
             for t in done {
                 let from = t.from.map_or(Source::Origin, |j| Source::Peer(self.ids[j]));
-                self.post(Message::Tell(t.to, Event::Arrived(t.chunk, from)));
+                self.post(Message::Notify(t.to, Event::Arrived(t.chunk, from)));
             }
             if j < n {
                 self.promote(j);
--- a/tests/lease_holder.rs
+++ b/tests/lease_holder.rs
@@ -1,10 +1,10 @@
-//! Lease holders over one simulated log, with manual time.
+//! Lease holders that share one simulated log, with a simulated clock; also the fencing-token check and the drain.
 
 use assert_matches::assert_matches;
 use sesamewing::{
     base::{Fence, Instance, Millis},
     decide::{
-        drain::{Drain, LEAVE_TIME},
+        drain::{Drain, DRAIN_NOTICE},
         lease::{FenceGate, LeaseHolder, LeaseStep, EXPIRY_MARGIN, LEASE_TERM},
     },
     kernel::{Body, Entry, Kernel, Lease, LeaseOp, Record},
@@ -40,7 +40,7 @@
     LeaseHolder::new(RESOURCE.to_owned(), name, Instance(instance))
 }
 
-/// Does one step whose append is sent at `sent` and read back at `read`.
+/// Runs one step of a holder; an append is sent at `sent` and its effect is read at `read`, both in milliseconds.
 fn step(h: &mut LeaseHolder, log: &mut Log, sent: u64, read: u64) -> LeaseStep {
     h.observe(Millis(sent), log.lease());
     let step = h.next(Millis(sent));
@@ -53,7 +53,7 @@
     step
 }
 
-/// Guards against commands of a holder that was frozen beyond its term.
+/// Guards against commands from a holder whose process was frozen until after the end of its term.
 #[test]
 fn frozen_holder_sends_no_command() {
     let (mut h, mut log) = (holder(1), Log::new());
@@ -68,9 +68,10 @@
     assert_eq!(h.command_fence(Millis(100 + LEASE_TERM.0)), None);
 }
 
-/// Guards against an early takeover, and against two holders that may command at the same time.
+/// Guards against a takeover before the term and the margin have passed, and against two holders that may send commands
+/// at the same time.
 #[test]
-fn lease_is_taken_over_late_never_early() {
+fn lease_is_not_taken_over_before_term_and_margin() {
     let (mut a, mut b, mut log) = (holder(1), holder(2), Log::new());
     step(&mut a, &mut log, 0, 50);
     let (read, end) = (200, 200 + LEASE_TERM.0 + EXPIRY_MARGIN.0);
@@ -89,23 +90,23 @@
         LeaseStep::Append(LeaseOp::Acquire { .. })
     );
     assert_eq!(b.command_fence(Millis(end)), Some(Fence(3)));
-    // The former holder wakes: its renewal has no effect and it waits.
+    // The former holder resumes: it has lost the lease, so it may send no command and has to wait.
     a.observe(Millis(end), log.lease());
     assert_eq!(a.command_fence(Millis(end)), None);
     assert_matches!(step(&mut a, &mut log, end, end), LeaseStep::Wait(_));
 }
 
-/// Guards against an expiry that crosses a renewal in the log.
+/// Guards against an expiry that ends a lease although a renewal was written to the log before it.
 #[test]
-fn renewal_defeats_an_expiry_of_an_older_one() {
+fn renewal_makes_a_later_expiry_void() {
     let (mut a, mut b, mut log) = (holder(1), holder(2), Log::new());
     step(&mut a, &mut log, 0, 0);
     step(&mut b, &mut log, 0, 0);
     let late = LEASE_TERM.0 + EXPIRY_MARGIN.0;
     let LeaseStep::Append(expire) = b.next(Millis(late)) else {
-        panic!("no expiry");
+        panic!("the second holder did not expire the lease after the term and the margin");
     };
-    // The renewal is read by `b` only after it sent the expiry.
+    // `b` reads the renewal only after it has sent the expiry.
     assert_matches!(
         step(&mut a, &mut log, 2500, 2500),
         LeaseStep::Append(LeaseOp::Renew { .. })
@@ -115,16 +116,16 @@
     assert_matches!(step(&mut b, &mut log, late, late), LeaseStep::Wait(t) if t == LEASE_TERM + EXPIRY_MARGIN);
 }
 
-/// Guards against a term that counts from a later append although an earlier one took effect.
+/// Guards against a term that is counted from a later append although an earlier one took effect.
 #[test]
-fn unsettled_append_counts_from_the_earliest() {
+fn term_counts_from_the_earliest_unsettled_append() {
     let (mut h, mut log) = (holder(1), Log::new());
     h.observe(Millis(0), None);
     let LeaseStep::Append(op) = h.next(Millis(0)) else {
-        panic!("no acquisition");
+        panic!("the holder did not acquire a lease that nobody holds");
     };
     h.append_sent(Millis(0));
-    // The first answer is lost; the second append is sent and the first one is read back.
+    // The reply to the first append is lost, so a second one is sent; the record that is read back is the first one.
     h.append_sent(Millis(4000));
     log.append(op);
     h.observe(Millis(4100), log.lease());
@@ -132,9 +133,9 @@
     assert_eq!(h.command_fence(LEASE_TERM), None);
 }
 
-/// Guards against stale commands to endpoints that check no token themselves.
+/// Guards against outdated commands to endpoints that do not check fencing tokens themselves.
 #[test]
-fn older_tokens_are_refused() {
+fn older_fencing_tokens_are_rejected() {
     let mut gate = FenceGate::default();
     assert!(gate.admit(Fence(5)));
     assert!(gate.admit(Fence(5)));
@@ -142,17 +143,18 @@
     assert!(gate.admit(Fence(6)));
 }
 
-/// Guards against new work during a drain, an exit before others know of it, and an exit that cuts work.
+/// Guards against new work during a drain, an exit before other processes have learnt of the drain, and an exit that
+/// interrupts work in progress.
 #[test]
-fn drain_ends_after_work_and_notice() {
+fn drain_ends_after_running_work_and_notice() {
     let mut d = Drain::default();
-    assert!(d.enter());
+    assert!(d.admit());
     assert!(!d.is_done(Millis(99_999)));
     d.begin(Millis(1000));
     d.begin(Millis(5000));
-    assert!(!d.enter());
+    assert!(!d.admit());
     assert!(!d.is_done(Millis(99_999)));
-    d.leave();
-    assert!(!d.is_done(Millis(1000) + LEAVE_TIME - Millis(1)));
-    assert!(d.is_done(Millis(1000) + LEAVE_TIME));
+    d.finish();
+    assert!(!d.is_done(Millis(1000) + DRAIN_NOTICE - Millis(1)));
+    assert!(d.is_done(Millis(1000) + DRAIN_NOTICE));
 }
--- a/tests/rollout_turns.rs
+++ b/tests/rollout_turns.rs
@@ -1,28 +1,28 @@
-//! Turns in which the hosts of a service load a new version.
+//! Load schedule: the times at which the hosts of a service start to load a new version.
 
 use sesamewing::{base::Millis, decide::rollout::HostSchedule};
 
 const BOUND: Millis = Millis(10_000);
 const HOSTS: usize = 40;
 
-fn starts(ready: Millis) -> Vec<Millis> {
+fn load_starts(ready: Millis) -> Vec<Millis> {
     let start = |rank| {
-        let rollout = HostSchedule {
+        let schedule = HostSchedule {
             bound: BOUND,
             rank,
             hosts: HOSTS,
         };
-        rollout.start_from(Millis(1000), ready)
+        schedule.start_from(Millis(1000), ready)
     };
     (0..HOSTS).map(start).collect()
 }
 
-/// Guards against hosts that load at once because their copies were late. The pattern: a version is named while the one
-/// before is being loaded, so that all copies are complete near the bound.
+/// Guards against hosts that all load at the same time because their copies were late. This occurs when a version
+/// becomes desired while its predecessor is being loaded, so that all copies are complete only near the bound.
 #[test]
-fn late_copies_take_turns() {
+fn late_copies_load_in_a_staggered_order() {
     let ready = Millis(8000);
-    let starts = starts(ready);
+    let starts = load_starts(ready);
     assert!(starts
         .iter()
         .all(|s| *s >= ready && *s < Millis(1000) + BOUND));
@@ -31,12 +31,15 @@
         starts.iter().filter(|s| window.contains(s)).count()
     };
     let most = starts.iter().map(|s| within(*s)).max().unwrap_or(0);
-    assert!(most <= HOSTS / 3, "{most} of {HOSTS} within half a second");
+    assert!(
+        most <= HOSTS / 3,
+        "{most} of {HOSTS} hosts started to load within 500 ms"
+    );
 }
 
-/// Guards against a host that waits although the bound is near.
+/// Guards against a host that delays its load although the last scheduled start has passed and the bound is near.
 #[test]
-fn last_moment_waits_for_nobody() {
+fn load_starts_at_once_near_the_bound() {
     let ready = Millis(10_900);
-    assert!(starts(ready).iter().all(|s| *s == ready));
+    assert!(load_starts(ready).iter().all(|s| *s == ready));
 }
