--- a/src/staging/agent.rs
+++ b/src/staging/agent.rs
@@ -1,4 +1,4 @@
-//! Brings the endpoint on this host to the version that the operator named.
+//! State and main loop of the agent, which brings the endpoint on its host to the desired version of its model.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,56 +26,59 @@
     net::Pacer,
 };
 
-/// Time after a failed call.
+/// Mean delay before a failed call to the endpoint, the origin or another host is repeated.
 pub(super) const RETRY_DELAY: Millis = Millis(200);
 
-/// Share of the chunks from which a copy is completed although a newer version was named.
+/// Share of chunks (numerator, denominator) from which a copy is finished although a newer version became desired.
 const FINISH_SHARE: (u32, u32) = (3, 4);
 
-/// A version of a model.
+/// The version of a model that the endpoint should load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Target {
     model: Rc<str>,
-    /// `None` before the operator named one: the newest of the origin.
+    /// `None` if the agent knows no desired version; the newest version of the origin is copied then.
     version: Option<WeightVersion>,
 }
 
-/// State of an agent.
+/// State of an agent, shared by its tasks.
 pub(super) struct Agent<S, D, H, O> {
     pub(super) settings: AgentSettings,
     pub(super) store: S,
     pub(super) host: H,
     origin: O,
     clock: SystemClock,
-    /// Keeps downloads within their share of the link.
-    down_pacer: Rc<Pacer>,
+    /// Limits downloads to their share of the host's link while the endpoint serves requests.
+    download_pacer: Rc<Pacer>,
     pub(super) inventory: Rc<ChunkInventory>,
     client: PeerClient,
     pub(super) peers: Rc<RefCell<Rc<Peers>>>,
-    /// Own model and the origin, from the catalog.
+    /// Model of this host's service, from the catalog.
     pub(super) model: RefCell<Option<Rc<str>>>,
+    /// Address and zone of the origin of weights, from the catalog.
     pub(super) origin_spec: RefCell<Option<OriginSpec>>,
     pub(super) desired: RefCell<HashMap<Rc<str>, DesiredVersions>>,
-    /// When an entry last told the work, and when this agent started.
+    /// When an entry last responded to a request for this agent's assignment.
     pub(super) last_assigned: Cell<Option<Millis>>,
-    /// Entries to tell of the endpoint.
+    /// Entries that read the store and are notified of changes of the endpoint's state.
     pub(super) readers: RefCell<Vec<SocketAddr>>,
-    /// Address of the endpoint, from its record.
+    /// Address of the endpoint on this host, from its record in the store.
     pub(super) endpoint: Cell<Option<SocketAddr>>,
+    /// When this agent started, on its monotonic clock.
     pub(super) started: Millis,
+    /// The endpoint's report at the last poll; `None` if it did not respond.
     pub(super) report: RefCell<Option<HostReport>>,
-    /// Start of the endpoint that answered last.
+    /// Start time of the endpoint that last responded, in Unix milliseconds; another one means a restart.
     last_born: Cell<Option<u64>>,
-    /// Whether a copy is in progress.
+    /// Whether a copy to this host is in progress.
     pub(super) copying: Cell<bool>,
-    /// Manifest of a newer version that is copied next.
+    /// Target that superseded the present copy, with its manifest, which was fetched before the copy was given up.
     next_manifest: RefCell<Option<(Target, Manifest)>>,
-    /// Whether the last manifest was wrong, so that the next one comes from the origin.
+    /// Whether chunks did not match the last manifest, so that the next one is fetched from the origin.
     manifest_rejected: Cell<bool>,
     pub(super) loader: Loader,
-    /// Wakes the main loop when the target or the endpoint changed.
+    /// Wakes the main loop when the target version or the endpoint's report has changed.
     pub(super) changed: Notify,
-    /// Wakes the task that tells entries of the endpoint.
+    /// Wakes the task that notifies entries of the endpoint's state.
     pub(super) state_changed: Notify,
     _decode: PhantomData<D>,
 }
@@ -106,7 +109,7 @@
             readers: RefCell::default(),
             endpoint: Cell::default(),
             started: clock.now(),
-            down_pacer: pacer,
+            download_pacer: pacer,
             inventory,
             client: PeerClient::new(),
             peers: Rc::new(RefCell::new(Rc::new(peers))),
@@ -130,12 +133,12 @@
         self.clock.now()
     }
 
-    /// Reads the endpoint's report.
+    /// Reads the endpoint's report. If the endpoint has restarted, discards the list of held chunks and the load state.
     pub(super) async fn poll_report(&self) {
         let report = match self.host.report().await {
             Ok(report) => Some(report),
             Err(e) => {
-                log::debug!("no report of the endpoint: {e}");
+                log::debug!("cannot read the report of the endpoint: {e}");
                 None
             }
         };
@@ -163,7 +166,7 @@
         self.state_changed.notify_one();
     }
 
-    /// Returns the loaded version of the own model.
+    /// Returns the version of this host's model that the endpoint has loaded.
     pub(super) fn loaded(&self) -> Option<WeightVersion> {
         let model = self.model.borrow();
         let report = self.report.borrow();
@@ -179,8 +182,9 @@
         Some(Target { model, version })
     }
 
-    /// Waits until the target is another one, or the endpoint restarts. A newer version waits until one that is nearly
-    /// complete is copied, and until its manifest is known: while the origin is away, the older copy goes on.
+    /// Waits until the present copy should be given up: another version is the target, or the endpoint has restarted.
+    /// A copy that is nearly complete is finished first. A copy also goes on until the newer version's manifest is
+    /// available, so that the older copy makes progress while the origin is unreachable.
     async fn wait_superseded(&self, target: &Target) {
         let born = self.born();
         loop {
@@ -192,14 +196,15 @@
             };
             let restarted = born.is_some() && self.born() != born;
             if newer || restarted {
-                // The next step looks at the change too.
+                // Keeps the change signalled for the next round of the main loop.
                 self.changed.notify_one();
                 return;
             }
         }
     }
 
-    /// Returns whether the manifest of a target can be had; tries again later if not.
+    /// Returns whether the manifest of a target is available. If not, waits for the retry delay and signals a change,
+    /// so that the caller tries again.
     async fn is_available(&self, target: &Target) -> bool {
         if !self.copying.get() || target.version.is_none() {
             return true;
@@ -213,7 +218,7 @@
         true
     }
 
-    /// Returns whether most of the present version is copied.
+    /// Returns whether a copy is in progress and at least [`FINISH_SHARE`] of its chunks are held.
     fn is_nearly_complete(&self) -> bool {
         let (held, chunks) = self.inventory.progress();
         self.copying.get() && held * FINISH_SHARE.1 >= chunks * FINISH_SHARE.0
@@ -223,7 +228,7 @@
         self.report.borrow().as_ref().map(|r| r.born)
     }
 
-    /// Brings the endpoint to the target, or waits for a change.
+    /// Copies and loads the target version until it is superseded; without a target, waits for a change.
     pub(super) async fn reconcile(self: &Rc<Self>) {
         let begins = self.report.borrow().is_some() || self.settings.prefetch;
         let Some(target) = self.target().filter(|_| begins) else {
@@ -255,12 +260,12 @@
         self.copying.set(false);
         let is_loaded = || self.loaded().is_some_and(|v| v >= manifest.version);
         if is_loaded() || self.load_scheduled(&target.model, &manifest).await {
-            // Nothing to do before the next change.
+            // The target is loaded; the caller drops this future when the target changes.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Copies the chunks that are not held; returns whether all are.
+    /// Copies the chunks that are not held; returns whether the copy is complete.
     async fn copy_missing(&self, target: &Target, manifest: &Rc<Manifest>) -> bool {
         let begun = self.now();
         let (model, version) = (&target.model, manifest.version);
@@ -299,14 +304,15 @@
             inventory: self.inventory.clone(),
             staging_reserved: self.loader.staging_reserved.clone(),
             peers: self.peers.clone(),
-            down: self.settings.link_rate,
-            pacer: self.loaded().map(|_| self.down_pacer.clone()),
+            link_rate: self.settings.link_rate,
+            pacer: self.loaded().map(|_| self.download_pacer.clone()),
             clock: self.clock,
             model: target.model.clone(),
             manifest: manifest.clone(),
         }
     }
 
+    /// Returns the manifest of a target: one that is known here, else from another host, else from the origin.
     async fn manifest(&self, target: &Target) -> Option<Manifest> {
         let version = target
             .version
@@ -318,8 +324,8 @@
             if let Some(known) = self.inventory.manifest(&target.model, version) {
                 return Some((*known).clone());
             }
-            if let Some(told) = self.peer_manifest(&target.model, version).await {
-                return Some(told);
+            if let Some(manifest) = self.peer_manifest(&target.model, version).await {
+                return Some(manifest);
             }
         }
         let addr = self.origin_spec.borrow().as_ref().map(|o| o.addr)?;
@@ -336,14 +342,14 @@
         }
     }
 
-    /// Asks other hosts for a manifest, so that few ask the origin.
+    /// Fetches a manifest from other hosts of the region, so that few hosts request it from the origin.
     async fn peer_manifest(&self, model: &str, version: WeightVersion) -> Option<Manifest> {
         let id = version_id(model, version);
         let sources = self.peers.borrow().manifest_sources(&id);
         for addr in sources {
-            let told = self.client.manifest(addr, model, version).await;
-            if told.is_some() {
-                return told;
+            let manifest = self.client.manifest(addr, model, version).await;
+            if manifest.is_some() {
+                return manifest;
             }
         }
         None
--- a/src/staging/assignment.rs
+++ b/src/staging/assignment.rs
@@ -1,4 +1,4 @@
-//! What an agent is told to do: its model, the named versions and the other hosts, by an entry or by the store.
+//! Assignment of an agent: its model, the desired versions and the other hosts, from an entry or from the store.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -18,11 +18,11 @@
     },
 };
 
-/// Time without news from any entry after which the store is read instead.
+/// Time without a response from any entry after which the agent reads the store instead.
 const ASSIGNMENT_TIMEOUT: Millis = Millis(2500);
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
-    /// Takes a configuration from the store.
+    /// Applies a configuration from the store: the origin and the model of this host's service.
     pub(super) fn set_catalog(&self, catalog: &Catalog) {
         let spec = catalog.services.get(&self.settings.service);
         let model = spec.and_then(|s| s.weights.as_ref()?.models.first().cloned());
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Notes a named version; `found` says that it was named before this agent started.
+    /// Records that a version became desired; `found` says that this was before the agent started, at an unknown time.
     pub(super) fn add_desired(&self, model: Rc<str>, version: WeightVersion, found: bool) {
         let now = self.now();
         let newer = {
@@ -42,7 +42,7 @@
             versions.record(version, found, now)
         };
         emit!(
-            log_event::NAMED,
+            log_event::DESIRED,
             "model={model} version={version} newer={newer} found={found}"
         );
         if newer {
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Notes that an entry answers, and which entries read the store.
+    /// Records that an entry responded, and which entries read the store.
     pub(super) fn set_readers(&self, readers: &[SocketAddr]) {
         self.last_assigned.set(Some(self.now()));
         *self.readers.borrow_mut() = readers.to_vec();
     }
 
-    /// Takes what an entry tells.
+    /// Applies the assignment from an entry.
     pub(super) fn assign(&self, assignment: &Assignment) {
         let now = self.now();
         *self.origin_spec.borrow_mut() = assignment.origin.clone();
@@ -74,7 +74,7 @@
             if versions.merge(n.version, now - n.age) {
                 let (version, age) = (n.version, n.age);
                 emit!(
-                    log_event::NAMED,
+                    log_event::DESIRED,
                     "model={model} version={version} age={age} source=entry"
                 );
             }
@@ -92,12 +92,13 @@
         }
     }
 
-    /// Returns whether no entry told anything for a while, so that the store has to be read.
+    /// Returns whether no entry has responded for [`ASSIGNMENT_TIMEOUT`], so that the store has to be read.
     pub(super) fn is_assignment_stale(&self) -> bool {
         let last = self.last_assigned.get().unwrap_or(self.started);
         self.now() > last + ASSIGNMENT_TIMEOUT
     }
 
+    /// Replaces the list of hosts that serve the service; `hosts` are the addresses and zones of their endpoints.
     fn set_hosts(&self, hosts: &[(SocketAddr, Zone)]) {
         let origin = self.origin_spec.borrow();
         let location = Location {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Reads the hosts of the service from the store, if no entry tells them.
+    /// Reads the hosts of the service from the store if no entry responds.
     pub(super) async fn read_peers(&self) {
         if !self.is_assignment_stale() {
             return;
@@ -124,7 +125,7 @@
         let records = match self.store.newest(Topic::Endpoints).await {
             Ok(records) => records.records,
             Err(e) => {
-                log::debug!("the list of hosts cannot be read: {e}");
+                log::debug!("cannot read the list of hosts: {e}");
                 return;
             }
         };
@@ -135,7 +136,8 @@
         self.set_hosts(&hosts);
     }
 
-    /// Returns what entries should know of the endpoint, and the entries to tell.
+    /// Returns the state of the endpoint and the entries to notify; `None` if the endpoint does not respond or its
+    /// address is not known.
     pub(super) fn endpoint_update(&self) -> Option<(EndpointUpdate, Vec<SocketAddr>)> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
--- a/src/staging/copy.rs
+++ b/src/staging/copy.rs
@@ -1,4 +1,4 @@
-//! The copy of one version to the endpoint.
+//! Copy of one version's chunks to the endpoint on this host.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,32 +29,34 @@
     weights::{Driver, Fetched, Transfer},
 };
 
-/// Time without progress after which another host takes over a chunk; links carry one in a few tens of milliseconds.
+/// Time without progress after which another host takes over a chunk; a link carries a chunk in a few tens of
+/// milliseconds.
 const STALL_TIMEOUT: Millis = Millis(900);
 
-/// Longest time that leaders wait at the start for reports of their neighbours.
+/// Longest time that the leader of a chunk waits at the start of a copy for the reports of its neighbours before it
+/// fetches the chunk from the origin.
 const START_GRACE: Millis = Millis(150);
 
-/// Time for which a failed source is not asked again; doubles up to the longest. Short, because the bound on old versions
-/// runs on while the origin is away.
+/// Backoff after the first failure of a source; doubles with each failure up to [`BACKOFF_MAX`]. Short, because the
+/// time until the desired version is enforced also elapses while the origin is unreachable.
 const BACKOFF: Millis = Millis(150);
 const BACKOFF_MAX: Millis = Millis(600);
 
-/// Chunks that leaders of all hosts fetch from the origin at once. All share its link, and connections to it time out
-/// behind a long queue of chunks.
+/// Chunks that the leaders on all hosts together fetch from the origin at once. All fetches share the origin's link,
+/// and connections to the origin time out behind a long queue of chunks.
 const ORIGIN_WINDOW: usize = 10;
 
-/// Times that a chunk may arrive with another digest before the manifest is taken to be wrong.
+/// Number of deliveries of one chunk with a wrong digest after which the manifest is taken to be wrong.
 const CORRUPT_MAX: u32 = 2;
 
-/// Returns the key of a version for the choice of neighbours and leaders.
+/// Returns the hash key of a version from which neighbours and leaders of chunks are chosen.
 pub(super) fn version_id(model: &str, version: WeightVersion) -> Digest {
     let mut id = Digest::of(model.as_bytes());
     id.0[..8].copy_from_slice(&version.0.to_le_bytes());
     id
 }
 
-/// What a copy needs.
+/// Parameters and shared state of a copy.
 #[derive(Clone, Debug)]
 pub(super) struct CopyContext<H, O> {
     pub(super) host: H,
@@ -62,41 +64,44 @@
     pub(super) origin_addr: Option<SocketAddr>,
     pub(super) client: PeerClient,
     pub(super) inventory: Rc<ChunkInventory>,
-    /// Whether the endpoint still keeps another version for its load, so that chunks are kept in memory.
+    /// Whether another complete version waits at the endpoint for its load, so that chunks are buffered in memory.
     pub(super) staging_reserved: Rc<Cell<bool>>,
     pub(super) peers: Rc<RefCell<Rc<Peers>>>,
-    pub(super) down: Rate,
-    /// Leaves a share of the link to the endpoint; `None` if it serves nothing yet.
+    /// Rate of the host's link in each direction.
+    pub(super) link_rate: Rate,
+    /// Limits downloads, so that a share of the link is left to the endpoint; `None` while the endpoint has not loaded
+    /// the model and serves nothing.
     pub(super) pacer: Option<Rc<Pacer>>,
     pub(super) clock: SystemClock,
     pub(super) model: Rc<str>,
     pub(super) manifest: Rc<Manifest>,
 }
 
-/// Transfers of a copy to the endpoint on this host.
+/// Chunk transfers of one copy to the endpoint on this host.
 struct Copy<H, O> {
     ctx: CopyContext<H, O>,
     peers: Rc<Peers>,
-    /// Times that each chunk arrived with another digest.
+    /// Number of deliveries with a wrong digest, by chunk.
     corrupt: HashMap<u32, u32>,
 }
 
-/// The digests of the manifest match no source.
+/// A chunk was received [`CORRUPT_MAX`] times with a digest other than the manifest's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("chunk {0} arrives with another digest from every source; read the manifest again")]
+#[error("chunk {0} was received {CORRUPT_MAX} times with a digest other than the manifest's; read the manifest again")]
 pub(super) struct WrongManifest(u32);
 
 /// Copies all chunks of a version that are not held.
 ///
 /// # Errors
 ///
-/// Returns an error if the manifest seems to be wrong.
+/// Returns an error if a chunk was received [`CORRUPT_MAX`] times with a wrong digest, so that the manifest is probably
+/// wrong.
 pub(super) async fn copy<H: EndpointHost, O: Origin>(
     ctx: CopyContext<H, O>,
 ) -> Result<(), WrongManifest> {
     let manifest = ctx.manifest.clone();
     let peers = ctx.peers.borrow().clone();
-    let mut config = Config::new(Prefer::Origin, manifest.chunk, ctx.down);
+    let mut config = Config::new(Prefer::Origin, manifest.chunk, ctx.link_rate);
     config.stall = STALL_TIMEOUT;
     config.grace = START_GRACE;
     config.backoff = BACKOFF;
@@ -162,7 +167,7 @@
         events: mpsc::Sender<Event>,
     ) -> Option<AbortHandle> {
         let addr = self.peers.addr(id)?;
-        Some(tasks.spawn_local(follow(self.ctx.clone(), id, addr, events)))
+        Some(tasks.spawn_local(follow_peer(self.ctx.clone(), id, addr, events)))
     }
 
     fn finish(
@@ -193,7 +198,7 @@
     }
 }
 
-/// Fetches a chunk, checks it and stages it, or keeps it until it can be staged.
+/// Fetches a chunk, checks its digest and stages it, or buffers it in memory until it can be staged.
 async fn fetch<H: EndpointHost, O: Origin>(
     ctx: &CopyContext<H, O>,
     chunk: u32,
@@ -206,7 +211,7 @@
         if ctx.peers.borrow().is_local(from) {
             pacer.acquire(bytes).await;
         } else {
-            // Many hosts wait for a chunk that this one brings into the region.
+            // Charged without a wait, because many hosts wait for a chunk that this one fetches into the region.
             pacer.charge(bytes);
         }
     }
@@ -236,29 +241,29 @@
         return Ok(());
     }
     if let Err(e) = ctx.host.stage(&ctx.model, chunk, data.clone()).await {
-        // The endpoint may not be up yet.
+        // The endpoint may not have started yet.
         log::debug!("chunk {chunk} cannot be staged yet: {e}");
         ctx.inventory.buffer(&ctx.model, version, chunk, data);
     }
     Ok(())
 }
 
-/// Passes a neighbour's news to the scheduler until it does not answer.
-async fn follow<H: EndpointHost, O: Origin>(
+/// Reports the chunks of a neighbour to the scheduler until the neighbour does not respond.
+async fn follow_peer<H: EndpointHost, O: Origin>(
     ctx: CopyContext<H, O>,
     id: PeerId,
     addr: SocketAddr,
-    news: mpsc::Sender<Event>,
+    events: mpsc::Sender<Event>,
 ) {
     let mut from = 0;
     let version = ctx.manifest.version;
     while let Some(chunks) = ctx.client.have(addr, &ctx.model, version, from).await {
         let first = from == 0;
         from += chunks.len();
-        if (first || !chunks.is_empty()) && news.send(Event::Has(id, chunks)).await.is_err() {
+        if (first || !chunks.is_empty()) && events.send(Event::Has(id, chunks)).await.is_err() {
             return;
         }
     }
-    // The receiver is dropped when the copy ends.
-    let _ = news.send(Event::Gone(id)).await;
+    // Sending fails only if the copy has ended and dropped the receiver.
+    let _ = events.send(Event::Gone(id)).await;
 }
--- a/src/staging/entries.rs
+++ b/src/staging/entries.rs
@@ -1,4 +1,4 @@
-//! Asks entries what there is to do, so that agents do not load the store and the links to it.
+//! Long polls of entries for this agent's assignment, so that agents do not load the store and the links to it.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -14,25 +14,27 @@
     http::{get, Pool},
 };
 
-/// Time for an answer beyond the wait that is asked for.
+/// Time limit of a request beyond the wait of the long poll.
 const RESPONSE_TIMEOUT: Millis = Millis(500);
 
-/// Time after a question that failed, and after a failed read of the announcements.
+/// Mean delay after a request that failed, and after a read of the store that returned no entries.
 const RETRY_DELAY: Millis = Millis(60);
 const STORE_RETRY_DELAY: Millis = Millis(600);
 
-/// Entries to ask, and what the last one assignment.
+/// Entries that can be polled, and the state of the long poll.
 struct AssignmentSource {
     pool: Pool,
     clock: SystemClock,
+    /// Entries to poll; the last one is polled next.
     entries: Vec<SocketAddr>,
-    /// The one that answered the last question.
+    /// Entry that responded to the last request.
     current: Option<SocketAddr>,
+    /// Hash of the last assignment; entries respond at once to a request with another tag.
     tag: u64,
 }
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
-    /// Asks entries for ever, one at a time.
+    /// Polls entries for this agent's assignment without end, one entry at a time.
     pub(super) async fn poll_assignments(self: Rc<Self>) {
         let mut source = AssignmentSource {
             pool: Pool::default(),
@@ -69,7 +71,7 @@
             source.tag = assignment.tag;
             if !assignment.entries.is_empty() {
                 source.entries = assignment.entries;
-                // The one that answers is asked again.
+                // The entry that responded stays the one that is polled.
                 source.entries.retain(|e| *e != entry);
                 source.entries.push(entry);
             }
@@ -83,23 +85,27 @@
         match get(&self.pool, entry, path, self.clock.now(), limit).await {
             Ok(res) if res.status() == StatusCode::OK => postcard::from_bytes(res.body()).ok(),
             Ok(res) => {
-                log::debug!("{entry} answers a question for work with {}", res.status());
+                log::debug!(
+                    "{entry} responded to a request for the assignment with status {}",
+                    res.status()
+                );
                 None
             }
             Err(e) => {
-                log::debug!("no work from {entry}: {e}");
+                log::debug!("no assignment from {entry}: {e}");
                 None
             }
         }
     }
 }
 
-/// Reads which entries announced themselves; those of the zone come last and are asked first.
+/// Reads the entries that are announced in the store, in random order; those of the agent's zone come last and are
+/// therefore polled first.
 async fn announced_entries<S: RecordStore>(store: &S, zone: &str) -> Vec<SocketAddr> {
     let records = match store.newest(Topic::Entries).await {
         Ok(records) => records.records,
         Err(e) => {
-            log::debug!("the announcements of entries cannot be read: {e}");
+            log::debug!("cannot read the announcements of entries: {e}");
             return Vec::new();
         }
     };
--- a/src/staging/exchange.rs
+++ b/src/staging/exchange.rs
@@ -1,4 +1,4 @@
-//! Serves the endpoint's staged chunks to other hosts, and fetches theirs.
+//! Server and client for chunks and manifests that agents of different hosts fetch from each other.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc};
 
@@ -16,42 +16,44 @@
     net::Pacer,
 };
 
-/// Uploads that wait for the link or are sent; further ones are refused, so that the peer asks elsewhere.
+/// Limit on uploads that wait for the link or are being sent; further requests are rejected, so that the peer tries
+/// another source.
 const UPLOADS_MAX: u32 = 3;
 
-/// Share of the host's link that chunks may take. The endpoint's live responses use the same link, and a chunk that is
-/// being sent delays them.
+/// Share of the host's link that chunk transfers may take in each direction. The endpoint's responses use the same link
+/// and are delayed by a chunk that is being sent.
 pub(super) const LINK_SHARE: Percent = Percent(88);
 
-/// Longest time for which a question for news waits.
+/// Longest wait of a long poll for new chunks or a manifest.
 const LONG_POLL: Millis = Millis(500);
 
-/// Time in which further news is collected before an answer.
+/// Delay after the first new chunk in which further ones are collected into the same response.
 const BATCH_DELAY: Millis = Millis(15);
 
-/// Time for an answer beyond the wait for news.
+/// Time limit of a request beyond the wait of the long poll.
 const RESPONSE_TIMEOUT: Millis = Millis(700);
 
-/// Longest time of a chunk's transfer.
+/// Time limit of the transfer of one chunk.
 const TRANSFER_TIMEOUT: Millis = Millis(2500);
 
-/// Serves other hosts.
+/// Serves the chunks and the manifest of this host to agents of other hosts.
 #[derive(Clone, Debug)]
 pub(super) struct ChunkServer<H> {
     pub(super) host: H,
     pub(super) inventory: Rc<ChunkInventory>,
+    /// Number of uploads in progress.
     pub(super) uploads: Rc<Cell<u32>>,
-    /// Keeps uploads within their share of the link.
+    /// Limits uploads to their share of the link.
     pub(super) pacer: Rc<Pacer>,
 }
 
-/// What another host asks for.
+/// Request of another host's agent.
 enum PeerRequest<'a> {
-    /// Chunks after a position of the arrival order.
+    /// Indexes of the chunks after a position in the order of arrival.
     Have(&'a str, WeightVersion, usize),
-    /// A chunk.
+    /// Content of the chunk with an index.
     Chunk(&'a str, WeightVersion, u32),
-    /// The manifest.
+    /// Manifest of a version.
     Manifest(&'a str, WeightVersion),
 }
 
@@ -78,8 +80,8 @@
 }
 
 impl<H: EndpointHost> ChunkServer<H> {
-    /// Answers another host.
-    pub(super) async fn answer(self, req: Request<Incoming>) -> Response<Full<Bytes>> {
+    /// Responds to a request of another host.
+    pub(super) async fn handle(self, req: Request<Incoming>) -> Response<Full<Bytes>> {
         match parse(req.uri().path()) {
             Some(PeerRequest::Have(model, version, from)) => self.have(model, version, from).await,
             Some(PeerRequest::Chunk(model, version, chunk)) => {
@@ -90,15 +92,15 @@
         }
     }
 
-    /// Answers with the manifest of a version; waits for it if this host does not have it yet.
+    /// Responds with the manifest of a version; waits up to [`LONG_POLL`] if this host does not have it yet.
     async fn manifest(&self, model: &str, version: WeightVersion) -> Response<Full<Bytes>> {
         let wait = async {
             loop {
-                let news = self.inventory.changed();
+                let changed = self.inventory.changed();
                 if let Some(manifest) = self.inventory.manifest(model, version) {
                     return postcard::to_stdvec(&*manifest).ok();
                 }
-                news.await;
+                changed.await;
             }
         };
         match tokio::time::timeout(LONG_POLL.duration(), wait).await {
@@ -107,18 +109,19 @@
         }
     }
 
+    /// Responds with the chunks that arrived after a position; waits up to [`LONG_POLL`] if there is none.
     async fn have(
         &self,
         model: &str,
         version: WeightVersion,
         from: usize,
     ) -> Response<Full<Bytes>> {
-        let news = || {
+        let arrived = || {
             self.inventory
                 .arrived_since(model, version, from)
                 .unwrap_or_default()
         };
-        if news().is_empty() {
+        if arrived().is_empty() {
             let wait = LONG_POLL.duration();
             if tokio::time::timeout(wait, self.inventory.changed())
                 .await
@@ -127,7 +130,7 @@
                 tokio::time::sleep(BATCH_DELAY.duration()).await;
             }
         }
-        match postcard::to_stdvec(&news()) {
+        match postcard::to_stdvec(&arrived()) {
             Ok(data) => respond(StatusCode::OK, data.into()),
             Err(e) => {
                 log::warn!("cannot encode the list of chunks: {e}");
@@ -136,6 +139,8 @@
         }
     }
 
+    /// Responds with a chunk that matches its digest: 404 if this host does not hold it, 503 if too many uploads are in
+    /// progress or the endpoint cannot be read.
     async fn chunk(
         &self,
         model: &str,
@@ -164,14 +169,14 @@
                 respond(StatusCode::NOT_FOUND, Bytes::new())
             }
             Err(e) => {
-                log::debug!("chunk {chunk} cannot be read from the endpoint: {e}");
+                log::debug!("cannot read chunk {chunk} from the endpoint: {e}");
                 respond(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
             }
         }
     }
 }
 
-/// Counts an upload.
+/// Counts an upload as in progress until it is dropped.
 struct UploadGuard(Rc<Cell<u32>>);
 
 impl UploadGuard {
@@ -187,7 +192,7 @@
     }
 }
 
-/// PeerClient of other hosts' exchanges.
+/// Client of the chunk servers of other hosts.
 #[derive(Clone, Debug)]
 pub(super) struct PeerClient {
     pool: Pool,
@@ -211,7 +216,8 @@
         get(&self.pool, addr, &path, self.clock.now(), limit).await
     }
 
-    /// Asks which chunks arrived after a position; waits for news.
+    /// Requests the chunks that arrived at another host after a position; a long poll. `None` if the host does not
+    /// respond with a list.
     pub(super) async fn have(
         &self,
         addr: SocketAddr,
@@ -224,17 +230,20 @@
         match self.get(addr, path, limit).await {
             Ok(res) if res.status() == StatusCode::OK => postcard::from_bytes(res.body()).ok(),
             Ok(res) => {
-                log::debug!("{addr} answers a question for news with {}", res.status());
+                log::debug!(
+                    "{addr} responded to a request for new chunks with status {}",
+                    res.status()
+                );
                 None
             }
             Err(e) => {
-                log::debug!("no news from {addr}: {e}");
+                log::debug!("no list of chunks from {addr}: {e}");
                 None
             }
         }
     }
 
-    /// Fetches a manifest; waits until the other host has it.
+    /// Fetches a manifest from another host, which waits up to [`LONG_POLL`] until it has it.
     pub(super) async fn manifest(
         &self,
         addr: SocketAddr,
@@ -252,7 +261,7 @@
         }
     }
 
-    /// Fetches a chunk and checks it.
+    /// Fetches a chunk from another host and checks its digest.
     pub(super) async fn chunk(
         &self,
         addr: SocketAddr,
@@ -268,7 +277,7 @@
             Ok(res) if is_intact(res.body(), digest) => Ok(res.into_body()),
             Ok(_) => Err(Fault::Corrupt),
             Err(e) => {
-                log::debug!("chunk {chunk} did not arrive from {addr}: {e}");
+                log::debug!("chunk {chunk} was not received from {addr}: {e}");
                 Err(Fault::Lost)
             }
         }
--- a/src/staging/host.rs
+++ b/src/staging/host.rs
@@ -1,4 +1,4 @@
-//! The endpoint on the same host, and the origin of weights.
+//! Interfaces to the endpoint on the same host and to the origin of weights.
 
 use std::{future::Future, net::SocketAddr, rc::Rc};
 
@@ -13,32 +13,32 @@
 /// Why a call to the endpoint or the origin failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HostError {
-    /// It answered with an error.
-    #[error("the call was refused with status {0}; see the log of the endpoint or origin")]
+    /// The response has an error status.
+    #[error("the call was rejected with status {0}; see the log of the endpoint or origin")]
     Refused(u16),
-    /// No whole response came; an order may have been accepted.
-    #[error("no response ({0}); an order may have been accepted")]
+    /// No complete response was received; an order may have been accepted.
+    #[error("no complete response ({0}); an order may have been accepted")]
     Lost(String),
     /// The response cannot be decoded.
     #[error("the response is malformed ({0}); check the platform's version")]
     Malformed(String),
 }
 
-/// What an endpoint says of itself.
+/// State that an endpoint reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostReport {
     /// Loaded models with their versions.
     pub models: Vec<(Rc<str>, WeightVersion)>,
-    /// Whether an order is in progress.
+    /// Whether the endpoint executes an order: it drains for a load, or loads.
     pub busy: bool,
-    /// Start of the endpoint in Unix milliseconds.
+    /// Start time of the endpoint in Unix milliseconds; another value means a restart.
     pub born: u64,
 }
 
-/// Answer to an order to load.
+/// Response of an endpoint to an order to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadResponse {
-    /// The endpoint drains its requests and then loads.
+    /// The endpoint has accepted the order; it drains its requests and then loads.
     Begun,
     /// The version is loaded, or its load is in progress.
     Done,
@@ -48,36 +48,36 @@
 
 /// The endpoint on the same host.
 pub trait EndpointHost: Clone + 'static {
-    /// Reads what the endpoint says of itself.
+    /// Reads the state that the endpoint reports.
     ///
     /// # Errors
     ///
-    /// Returns an error if the endpoint does not answer.
+    /// Returns an error if the endpoint does not respond or rejects the call.
     fn report(&self) -> impl Future<Output = Result<HostReport, HostError>>;
 
-    /// Lists the staged chunks of a model, of any version and unchecked.
+    /// Lists the indexes of a model's staged chunks; they may belong to any version, and their digests are not checked.
     ///
     /// # Errors
     ///
-    /// Returns an error if the endpoint does not answer.
+    /// Returns an error if the endpoint does not respond or rejects the call.
     fn staged(&self, model: &str) -> impl Future<Output = Result<Vec<u32>, HostError>>;
 
-    /// Reads a staged chunk, unchecked; `None` if there is none.
+    /// Reads a staged chunk without a check of its digest; `None` if it is not staged.
     ///
     /// # Errors
     ///
-    /// Returns an error if the endpoint does not answer.
+    /// Returns an error if the endpoint does not respond or rejects the call.
     fn read(
         &self,
         model: &str,
         chunk: u32,
     ) -> impl Future<Output = Result<Option<Bytes>, HostError>>;
 
-    /// Stages a chunk; replaces the one of another version.
+    /// Stages a chunk; replaces the staged chunk of another version with the same index.
     ///
     /// # Errors
     ///
-    /// Returns an error if the endpoint does not take it.
+    /// Returns an error if the endpoint does not accept the chunk.
     fn stage(
         &self,
         model: &str,
@@ -85,11 +85,12 @@
         data: Bytes,
     ) -> impl Future<Output = Result<(), HostError>>;
 
-    /// Orders the endpoint to load the staged chunks after its running requests.
+    /// Orders the endpoint to load the staged chunks when its running requests have ended.
     ///
     /// # Errors
     ///
-    /// After [`HostError::Lost`] the order may have been accepted.
+    /// Returns an error if the endpoint does not respond or rejects the order; after [`HostError::Lost`], the order may
+    /// have been accepted.
     fn load(
         &self,
         model: &str,
@@ -97,24 +98,24 @@
     ) -> impl Future<Output = Result<LoadResponse, HostError>>;
 }
 
-/// What a version consists of.
+/// Chunks of a version with their digests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Version.
+    /// Version that the manifest describes.
     pub version: WeightVersion,
-    /// Size of a chunk.
+    /// Size of each chunk.
     pub chunk: Size,
-    /// SHA-256 of each chunk.
+    /// SHA-256 of each chunk, in the order of their indexes.
     pub digests: Vec<Digest>,
 }
 
-/// The origin of weights.
+/// The weight store that holds each version first.
 pub trait Origin: Clone + 'static {
-    /// Reads a manifest; without a version, that of the newest one.
+    /// Reads the manifest of a version, or of the newest one if no version is given.
     ///
     /// # Errors
     ///
-    /// Returns an error if the origin does not answer or does not have the version.
+    /// Returns an error if the origin does not respond or does not have the version.
     fn manifest(
         &self,
         addr: SocketAddr,
@@ -122,11 +123,11 @@
         version: Option<WeightVersion>,
     ) -> impl Future<Output = Result<Manifest, HostError>>;
 
-    /// Reads a chunk, unchecked.
+    /// Reads a chunk without a check of its digest.
     ///
     /// # Errors
     ///
-    /// Returns an error if the origin does not answer or does not have the version.
+    /// Returns an error if the origin does not respond or does not have the version.
     fn chunk(
         &self,
         addr: SocketAddr,
--- a/src/staging/inventory.rs
+++ b/src/staging/inventory.rs
@@ -1,4 +1,4 @@
-//! Checked chunks of one version at the endpoint.
+//! Chunks that this host holds with the digest of their manifest: staged at the endpoint or buffered in memory.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -13,35 +13,36 @@
     gateway::WeightVersion,
 };
 
-/// Returns whether a chunk has its digest.
+/// Returns whether a chunk matches its SHA-256 digest.
 pub(super) fn is_intact(data: &[u8], digest: &Digest) -> bool {
     Sha256::digest(data)[..] == digest.0
 }
 
-/// A version that is copied or held.
+/// Chunks of a version that is being copied or is complete.
 #[derive(Debug)]
 struct Current {
     model: Rc<str>,
     manifest: Rc<Manifest>,
+    /// Chunks whose digests were checked.
     held: Bitmap,
-    /// Chunks in the order in which they arrived; chunks that were lost later stay in it.
+    /// Chunks in the order of arrival; chunks that were lost later remain listed.
     log: Vec<u32>,
-    /// Content of chunks that are not staged at the endpoint.
+    /// Content of chunks that are not yet staged at the endpoint, by index.
     buffered: HashMap<u32, Bytes>,
 }
 
-/// Chunks that other hosts may copy from here.
+/// Chunks of this host that other hosts may copy.
 #[derive(Debug, Default)]
 pub(super) struct ChunkInventory {
     current: RefCell<Option<Current>>,
-    /// The version before, while it is staged at the endpoint and waits for its load.
+    /// Previous version, while it is staged at the endpoint and waits for its load.
     previous: RefCell<Option<Current>>,
     changes: Notify,
 }
 
 impl ChunkInventory {
-    /// Starts a version without chunks, unless it is the present one; `waiting` says that the endpoint keeps the one
-    /// before until it is loaded.
+    /// Makes a version the current one, without chunks; does nothing if it already is. `waiting` says that the previous
+    /// version stays staged at the endpoint until its load.
     pub(super) fn begin(&self, model: &Rc<str>, manifest: &Rc<Manifest>, waiting: bool) {
         let mut current = self.current.borrow_mut();
         if let Some(c) = &*current {
@@ -63,37 +64,38 @@
         self.changes.notify_waiters();
     }
 
-    /// Forgets all chunks, because the endpoint may have lost them.
+    /// Removes all chunks, because the endpoint may have lost them.
     pub(super) fn clear(&self) {
         *self.current.borrow_mut() = None;
         self.drop_previous();
         self.changes.notify_waiters();
     }
 
+    /// Calls `f` with the current or previous version if it is the given one.
     fn with_version<T>(
         &self,
         model: &str,
         version: WeightVersion,
         f: impl FnOnce(&mut Current) -> T,
     ) -> Option<T> {
-        let is_meant = |c: &&mut Current| *c.model == *model && c.manifest.version == version;
+        let matches = |c: &&mut Current| *c.model == *model && c.manifest.version == version;
         let mut current = self.current.borrow_mut();
         let mut previous = self.previous.borrow_mut();
-        let found = current.as_mut().filter(is_meant);
-        found.or(previous.as_mut().filter(is_meant)).map(f)
+        let found = current.as_mut().filter(matches);
+        found.or(previous.as_mut().filter(matches)).map(f)
     }
 
-    /// Forgets the version before, because its chunks at the endpoint are about to be replaced.
+    /// Removes the previous version, because its chunks at the endpoint are about to be replaced.
     pub(super) fn drop_previous(&self) {
         *self.previous.borrow_mut() = None;
     }
 
-    /// Notes a checked chunk and keeps its content until it can be staged.
+    /// Buffers the content of a checked chunk until it can be staged; [`Self::insert`] marks the chunk as held.
     pub(super) fn buffer(&self, model: &str, version: WeightVersion, chunk: u32, data: Bytes) {
         self.with_version(model, version, |c| c.buffered.insert(chunk, data));
     }
 
-    /// Returns the content of a chunk that is not staged.
+    /// Returns the content of a chunk that is buffered in memory.
     pub(super) fn buffered(
         &self,
         model: &str,
@@ -103,7 +105,7 @@
         self.with_version(model, version, |c| c.buffered.get(&chunk).cloned())?
     }
 
-    /// Returns a chunk that is kept here until it is staged.
+    /// Returns the index and content of any chunk that is buffered and has to be staged.
     pub(super) fn next_unstaged(
         &self,
         model: &str,
@@ -114,12 +116,12 @@
         })?
     }
 
-    /// Notes that a chunk is staged.
+    /// Drops the buffered content of a chunk that was staged at the endpoint.
     pub(super) fn set_staged(&self, model: &str, version: WeightVersion, chunk: u32) {
         self.with_version(model, version, |c| c.buffered.remove(&chunk));
     }
 
-    /// Notes a checked chunk.
+    /// Marks a chunk as held after its digest was checked, and notifies waiting tasks if it is new.
     pub(super) fn insert(&self, model: &str, version: WeightVersion, chunk: u32) {
         let new = self.with_version(model, version, |c| {
             let new = c.held.insert(chunk);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Notes that a chunk is missing or spoilt.
+    /// Marks a chunk as not held, because it is missing or corrupt at the endpoint.
     pub(super) fn remove(&self, model: &str, version: WeightVersion, chunk: u32) {
         self.with_version(model, version, |c| c.held.remove(chunk));
     }
@@ -146,12 +148,12 @@
         })?
     }
 
-    /// Returns the manifest of a version, if it is the present one.
+    /// Returns the manifest of a version if it is the current or the previous one.
     pub(super) fn manifest(&self, model: &str, version: WeightVersion) -> Option<Rc<Manifest>> {
         self.with_version(model, version, |c| c.manifest.clone())
     }
 
-    /// Returns the number of held chunks and of all.
+    /// Returns the number of held chunks and of all chunks of the current version.
     pub(super) fn progress(&self) -> (u32, u32) {
         let current = self.current.borrow();
         let c = current.as_ref();
@@ -160,19 +162,20 @@
         })
     }
 
-    /// Returns the size of a chunk, in bytes.
+    /// Returns the size of a chunk of the current version in bytes; 0 if there is no version.
     pub(super) fn chunk_size(&self) -> usize {
         let current = self.current.borrow();
         current.as_ref().map_or(0, |c| c.manifest.chunk.0 as usize)
     }
 
-    /// Returns the held chunks.
+    /// Returns the indexes of the held chunks of a version.
     pub(super) fn held(&self, model: &str, version: WeightVersion) -> Vec<u32> {
         self.with_version(model, version, |c| c.held.iter().collect())
             .unwrap_or_default()
     }
 
-    /// Returns the chunks that arrived after a position of the arrival order; `None` for another version.
+    /// Returns the chunks from a position on in the order of arrival; `None` for a version that is neither the current
+    /// nor the previous one.
     pub(super) fn arrived_since(
         &self,
         model: &str,
@@ -184,7 +187,7 @@
         })
     }
 
-    /// Waits for the next change.
+    /// Waits for the next change of the version or its held chunks.
     pub(super) async fn changed(&self) {
         self.changes.notified().await;
     }
--- a/src/staging/load.rs
+++ b/src/staging/load.rs
@@ -1,4 +1,4 @@
-//! Stages a complete version at the endpoint and orders its load when the host's turn comes.
+//! Stages a complete version at the endpoint and orders its load at this host's scheduled load start.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,30 +21,33 @@
     gateway::{Decode, RecordStore, WeightVersion},
 };
 
-/// Time after which an order without an effect is given again.
+/// Time without a loaded version or a busy endpoint after which a load counts as not begun and is ordered again.
 const ORDER_RETRY: Millis = Millis(1000);
 
-/// State of the load.
+/// State of the load of a complete version.
 #[derive(Debug, Default)]
 pub(super) struct Loader {
-    /// Whether the endpoint keeps a complete version that it has not taken yet.
+    /// Whether the endpoint's staging area holds a complete version that waits for its load and must not be
+    /// overwritten.
     pub(super) staging_reserved: Rc<Cell<bool>>,
-    /// Whether the endpoint drains for a load or loads.
+    /// Whether a load was ordered and is not complete: the endpoint drains its requests or loads.
     pub(super) loading: Cell<bool>,
-    /// Turn of this host, until it loads; a newer version that is complete before takes over the turn.
+    /// Scheduled load start of this host, until a load begins. A newer version that is complete before then takes it
+    /// over.
     scheduled: Cell<Option<Millis>>,
+    /// Task that waits for the scheduled load start and loads.
     task: RefCell<Option<AbortHandle>>,
 }
 
 impl Loader {
-    /// Forgets everything, because the endpoint started anew.
+    /// Cancels the load and clears its state, because the endpoint has restarted.
     pub(super) fn reset(&self) {
-        self.stop();
+        self.cancel();
         self.loading.set(false);
         self.scheduled.set(None);
     }
 
-    fn stop(&self) {
+    fn cancel(&self) {
         if let Some(task) = self.task.take() {
             task.abort();
         }
@@ -53,16 +56,16 @@
 }
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
-    /// Stages a version that is held completely and loads it in turn; returns whether it is loaded. The load goes on if
-    /// the caller turns to a newer version.
+    /// Stages a version of which all chunks are held and loads it at the scheduled load start; returns whether it is
+    /// loaded. The load continues in a task of its own if the caller drops this future for a newer version.
     pub(super) async fn load_scheduled(
         self: &Rc<Self>,
         model: &Rc<str>,
         manifest: &Rc<Manifest>,
     ) -> bool {
         if self.loader.staging_reserved.get() {
-            // An older version that still waits for its turn is left out.
-            self.loader.stop();
+            // An older version that still waits for its scheduled load start is skipped.
+            self.loader.cancel();
         }
         self.inventory.drop_previous();
         if !self.stage_buffered(model, manifest.version).await {
@@ -77,7 +80,7 @@
         task.await.unwrap_or(false)
     }
 
-    /// Stages the chunks that were kept in memory; returns whether the endpoint took all.
+    /// Stages the chunks that are buffered in memory; returns whether the endpoint accepted all.
     async fn stage_buffered(&self, model: &str, version: WeightVersion) -> bool {
         while let Some((chunk, data)) = self.inventory.next_unstaged(model, version) {
             if let Err(e) = self.host.stage(model, chunk, data).await {
@@ -105,10 +108,10 @@
         self.load(model, manifest.version).await
     }
 
-    /// Reads the staged chunks and checks them; returns how many are held, here or at the endpoint.
+    /// Checks the digests of the staged chunks; returns how many chunks are held, in memory or at the endpoint.
     pub(super) async fn verify(&self, model: &str, manifest: &Manifest) -> usize {
         let staged = self.host.staged(model).await.unwrap_or_else(|e| {
-            log::debug!("the staged chunks cannot be listed: {e}");
+            log::debug!("cannot list the staged chunks: {e}");
             Vec::new()
         });
         let version = manifest.version;
@@ -121,7 +124,7 @@
                 && match self.host.read(model, chunk).await {
                     Ok(data) => data.is_some_and(|d| is_intact(&d, digest)),
                     Err(e) => {
-                        log::debug!("chunk {chunk} cannot be read: {e}");
+                        log::debug!("cannot read staged chunk {chunk}: {e}");
                         false
                     }
                 };
@@ -134,7 +137,7 @@
         self.inventory.held(model, version).len()
     }
 
-    /// Waits for this host's turn to load.
+    /// Waits for the scheduled load start of this host.
     async fn wait_for_start(&self, model: &str, manifest: &Manifest) {
         let (rank, hosts) = self.peers.borrow().load_rank(manifest.version);
         let rollout = Rollout {
@@ -164,20 +167,20 @@
         tokio::time::sleep(wait.duration()).await;
     }
 
-    /// Orders the load and waits for it; returns whether the version is loaded.
+    /// Orders the load and waits until it is complete; returns whether the version is loaded.
     async fn load(&self, model: &str, version: WeightVersion) -> bool {
-        let answer = self.host.load(model, version).await;
-        let text = match &answer {
-            Ok(answer) => format!("{answer:?}"),
+        let response = self.host.load(model, version).await;
+        let text = match &response {
+            Ok(response) => format!("{response:?}"),
             Err(e) => e.to_string(),
         };
         emit!(
             log_event::LOAD,
             "model={model} version={version} state=ordered answer=\"{text}\""
         );
-        // If the endpoint has taken the staged chunks, a newer version may replace them.
+        // Once the endpoint has accepted the order, a newer version may replace the staged chunks.
         self.loader.staging_reserved.set(false);
-        if !matches!(answer, Ok(LoadResponse::Begun | LoadResponse::Done)) {
+        if !matches!(response, Ok(LoadResponse::Begun | LoadResponse::Done)) {
             tokio::time::sleep(RETRY_DELAY.duration()).await;
             return false;
         }
@@ -190,7 +193,7 @@
         loaded
     }
 
-    /// Waits until a version is loaded; returns `false` if its load seems not to have begun.
+    /// Waits until a version is loaded; returns `false` if the endpoint was not busy for [`ORDER_RETRY`].
     async fn wait_loaded(&self, model: &str, version: WeightVersion) -> bool {
         let mut idle = self.now();
         while self.now() <= idle + ORDER_RETRY {
--- a/src/staging/log_event.rs
+++ b/src/staging/log_event.rs
@@ -1,28 +1,28 @@
-//! Numbered events of staging.
+//! Numbered log events of the agent that stages weights.
 
 crate::events! {
-    /// A copy of a version began, made progress or is complete.
+    /// The agent started, received SIGHUP or is stopping, or a copy of a version changed its state.
     COPY = 650, "staging-copy", Info,
-        "a copy of weights began or is complete", "none";
-    /// A chunk is spoilt or failed to arrive.
+        "the agent started or is stopping, or a copy of weights began, was superseded, restarted or is complete", "none";
+    /// A chunk was not received or staged, or a staged chunk no longer matches its digest.
     CHUNK = 651, "staging-chunk", Info,
-        "a chunk is spoilt, missing or did not arrive", "look for its source";
-    /// The endpoint was ordered to load, or loaded.
+        "a chunk is corrupt or missing, or was not received or staged", "check the source of the chunk";
+    /// A load at the endpoint was scheduled, ordered or completed.
     LOAD = 652, "staging-load", Info,
-        "the endpoint was ordered to load a version or has loaded it", "see the answer of the endpoint";
-    /// The endpoint was lost or answers again, or has restarted.
+        "a load was scheduled, ordered from the endpoint or completed", "see the response of the endpoint";
+    /// The endpoint stopped or resumed responding, restarted, or reports another state.
     ENDPOINT = 653, "staging-endpoint", Info,
-        "the endpoint on this host was lost, answers again or has restarted", "look for the endpoint";
-    /// The operator named a version.
-    NAMED = 654, "staging-version", Info,
-        "a version of weights was named", "none";
-    /// A record cannot be used.
+        "the endpoint on this host stopped or resumed responding, restarted or changed its state", "check the endpoint";
+    /// A version of weights became the desired one.
+    DESIRED = 654, "staging-version", Info,
+        "a version of weights became the desired one", "none";
+    /// A record of the operator's topic cannot be decoded.
     RECORD = 655, "staging-record", Warn,
-        "a record of the store cannot be decoded and is ignored", "look for its writer";
-    /// An entry does not answer, or another one does.
+        "a record of the store cannot be decoded and is ignored", "check the writer of the record";
+    /// The entry that serves this agent's assignment stopped responding, or another entry took its place.
     ENTRY = 657, "staging-entry", Info,
-        "an entry that tells the agent its work does not answer, or the next one does", "look for that entry";
-    /// The origin does not answer.
+        "an entry does not respond to a request for the agent's assignment, or another entry does", "check that entry";
+    /// A request for a manifest or chunk failed at the origin of weights.
     ORIGIN = 656, "staging-origin", Warn,
-        "the origin of weights does not answer or refuses", "check the origin";
+        "the origin of weights does not respond or rejects a request", "check the origin";
 }
--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -1,8 +1,9 @@
-//! Weights of the endpoint on the same host: copied as chunks from the origin and from other hosts, staged at the
-//! endpoint, checked, and loaded host after host.
+//! Agent that keeps the weights of the endpoint on its host up to date.
 //!
-//! The endpoint holds the staged chunks, so an agent keeps no content: what it serves to other hosts it reads from the
-//! endpoint. Which chunk comes from where is decided by [`crate::decide::chunk`].
+//! The agent copies a version's chunks from the origin and from other hosts, checks them, stages them at the endpoint
+//! and orders the endpoint to load them. The load starts are spread over the hosts of the service. Staged chunks are
+//! stored by the endpoint and not by the agent, which reads them back from there to serve other hosts; it buffers only
+//! chunks that cannot be staged yet. The source of each chunk is chosen by [`crate::decide::chunk`].
 
 mod agent;
 mod assignment;
--- a/src/staging/notify.rs
+++ b/src/staging/notify.rs
@@ -1,4 +1,4 @@
-//! Tells entries at once when the endpoint stops to take requests for a load, and when it has loaded.
+//! Notifies entries at once when the endpoint stops accepting requests for a load, and when it has loaded.
 
 use std::rc::Rc;
 
@@ -10,16 +10,16 @@
     gateway::{Decode, Message, RecordStore},
 };
 
-/// Datagrams with the same news, because some are lost, and the time between them.
-const REPEATS: u32 = 2;
-const REPEAT: Millis = Millis(80);
+/// Number of datagrams with the same update, because some are lost, and the time between them.
+const SEND_COUNT: u32 = 2;
+const SEND_INTERVAL: Millis = Millis(80);
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
-    /// Sends the endpoint's state to the entries that read the store, whenever it changes.
+    /// Sends the endpoint's state by UDP to the entries that read the store, whenever the state changes.
     pub(super) async fn notify_entries(self: Rc<Self>, socket: UdpSocket) {
         loop {
             self.state_changed.notified().await;
-            for _ in 0..REPEATS {
+            for _ in 0..SEND_COUNT {
                 let Some((update, readers)) = self.endpoint_update() else {
                     break;
                 };
@@ -30,12 +30,12 @@
                         break;
                     }
                 };
-                for reader in readers {
-                    if let Err(e) = socket.send_to(&message, reader).await {
-                        log::debug!("the state of the endpoint is not told to {reader}: {e}");
+                for entry in readers {
+                    if let Err(e) = socket.send_to(&message, entry).await {
+                        log::debug!("cannot send the state of the endpoint to {entry}: {e}");
                     }
                 }
-                tokio::time::sleep(REPEAT.duration()).await;
+                tokio::time::sleep(SEND_INTERVAL.duration()).await;
             }
         }
     }
--- a/src/staging/peers.rs
+++ b/src/staging/peers.rs
@@ -1,4 +1,4 @@
-//! Hosts that copy the same weights, from the records of their endpoints.
+//! Hosts that copy the same weights, derived from the records of their endpoints.
 
 use std::{
     collections::HashMap as RegionMap,
@@ -14,29 +14,31 @@
     gateway::WeightVersion,
 };
 
-/// Other hosts of a service.
+/// Other hosts of a service, with their places relative to this host.
 #[derive(Clone, Debug)]
 pub(super) struct Peers {
     pub(super) topology: Topology,
     own_addr: SocketAddr,
+    /// Addresses of the agents on the other hosts.
     addrs: HashMap<PeerId, SocketAddr>,
     /// Hosts in the origin's availability zone.
     near_origin: HashSet<IpAddr>,
 }
 
-/// Where this host and the origin are.
+/// Location of this host and of the origin.
 #[derive(Clone, Debug)]
 pub(super) struct Location {
-    /// Address of this host's exchange; its port is the same on all hosts.
+    /// Address at which this agent serves other agents; the port is the same on all hosts.
     pub(super) own_addr: SocketAddr,
+    /// Zone of this host.
     pub(super) zone: Zone,
     /// Region of each zone.
     pub(super) regions: RegionMap<Zone, Region>,
-    /// Zone of the origin.
+    /// Zone of the origin, if it is known.
     pub(super) origin: Option<Zone>,
 }
 
-fn id(addr: SocketAddr) -> PeerId {
+fn peer_id(addr: SocketAddr) -> PeerId {
     let text = addr.ip().to_string();
     PeerId(crate::base::rendezvous(b"weights", text.as_bytes()))
 }
@@ -60,9 +62,9 @@
 }
 
 impl Peers {
-    /// Finds the other agents of a service from the addresses and zones of its endpoints.
+    /// Derives the agents of a service from the addresses and zones of its endpoints: each runs on its endpoint's host.
     pub(super) fn new(location: &Location, endpoints: &[(SocketAddr, Zone)]) -> Self {
-        let me = id(location.own_addr);
+        let me = peer_id(location.own_addr);
         let mut members = Vec::new();
         let mut addrs = HashMap::default();
         let mut near_origin = HashSet::default();
@@ -71,7 +73,7 @@
         }
         for (addr, zone) in endpoints {
             let addr = SocketAddr::new(addr.ip(), location.own_addr.port());
-            let id = id(addr);
+            let id = peer_id(addr);
             if location.origin.as_ref() == Some(zone) {
                 near_origin.insert(addr.ip());
             }
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Returns whether a source is a host of this region.
+    /// Returns whether a source is a host in this region; the origin is not.
     pub(super) fn is_local(&self, source: Source) -> bool {
         match source {
             Source::Origin => false,
@@ -97,12 +99,13 @@
         }
     }
 
-    /// Returns the address of a host's exchange.
+    /// Returns the address of the agent on a host.
     pub(super) fn addr(&self, id: PeerId) -> Option<SocketAddr> {
         self.addrs.get(&id).copied()
     }
 
-    /// Returns the hosts of the region to ask for the manifest of a version, in order; none for the host that asks the
+    /// Returns the hosts of the region from which to request the manifest of a version, in order: the parent of this
+    /// host in the distribution tree of the version and a random one. Empty for the host that requests it from the
     /// origin for the region.
     pub(super) fn manifest_sources(&self, id: &Digest) -> Vec<SocketAddr> {
         let Some(parent) = self.topology.parent(id) else {
@@ -116,12 +119,12 @@
         addrs.collect()
     }
 
-    /// Returns this host's position among all in the turns of a version, and their number.
+    /// Returns this host's position, from 0, in the load order of a version, and the number of hosts.
     pub(super) fn load_rank(&self, version: WeightVersion) -> (usize, usize) {
         let order = |host| order(host, self.near_origin.contains(&host), version.0);
-        let mine = order(self.own_addr.ip());
+        let own = order(self.own_addr.ip());
         let others = self.addrs.values().filter(|a| a.ip() != self.own_addr.ip());
-        let ahead = others.clone().filter(|a| order(a.ip()) < mine);
+        let ahead = others.clone().filter(|a| order(a.ip()) < own);
         (ahead.count(), others.count() + 1)
     }
 }
--- a/src/staging/run.rs
+++ b/src/staging/run.rs
@@ -1,4 +1,4 @@
-//! The agent process: sockets, followers of the store and shutdown.
+//! The agent process: its sockets, tasks and shutdown.
 
 use std::{collections::HashMap as RegionMap, net::SocketAddr, rc::Rc};
 
@@ -27,45 +27,46 @@
     net::Pacer,
 };
 
-/// Longest wait of one read of the operator's records.
+/// Longest wait of one long poll of the operator's records.
 const READ_WAIT: Millis = Millis(2500);
 
-/// Time between two looks at the endpoint, which answers its own host for free.
+/// Interval between two polls of the endpoint. Short, because calls on the same host take nothing from the link.
 pub(super) const POLL_INTERVAL: Millis = Millis(150);
 
-/// Time between two reads of the list of hosts while a copy is in progress.
+/// Interval between two reads of the list of hosts while a copy is in progress.
 const PEERS_INTERVAL: Millis = Millis(1000);
 
-/// Time that a stopping agent gives to transfers in progress.
+/// Longest time that a stopping agent waits for uploads in progress.
 const DRAIN_TIMEOUT: Millis = Millis(1500);
 
 /// Settings of an agent process.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// Name of the process.
+    /// Name of the agent process.
     pub name: ProcessName,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub zone: Zone,
     /// Region of each zone.
     pub regions: RegionMap<Zone, Region>,
-    /// Service of the endpoint.
+    /// Service of the endpoint on this host.
     pub service: Service,
-    /// Address for other agents; its port is the same on all hosts.
+    /// Address at which this agent serves other agents (TCP) and from which it notifies entries (UDP); the port is the
+    /// same on all hosts.
     pub peer_addr: SocketAddr,
-    /// Time within which requests begin on a newly named version.
+    /// Age of a desired version from which it is enforced: requests may no longer begin on older ones.
     pub bound: Millis,
-    /// Rate of the host's link.
+    /// Rate of the host's link in each direction.
     pub link_rate: Rate,
-    /// Whether to copy before the endpoint answers. Not when the deployment starts for the first time: its endpoints hold
-    /// weights from the start.
+    /// Whether to copy before the endpoint responds. False when the deployment starts for the first time, because its
+    /// endpoints then hold weights from the start.
     pub prefetch: bool,
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until it receives SIGTERM.
 ///
 /// # Errors
 ///
-/// Returns an error if the socket cannot be bound.
+/// Returns an error if a socket cannot be bound or a signal handler cannot be installed.
 pub async fn run<S, D, H, O>(
     settings: AgentSettings,
     store: S,
@@ -82,7 +83,7 @@
     let clock = SystemClock::start();
     let rate = settings.link_rate.share(LINK_SHARE);
     let pacer = || Rc::new(Pacer::new(rate, Size(0), clock));
-    let exchange = ChunkServer {
+    let server = ChunkServer {
         pacer: pacer(),
         host: host.clone(),
         inventory: inventory.clone(),
@@ -95,10 +96,11 @@
         settings.service
     );
     let addr = settings.peer_addr;
-    let listener = listen(addr)
-        .wrap_err_with(|| format!("cannot listen on {addr} for agents; check the settings"))?;
+    let listener = listen(addr).wrap_err_with(|| {
+        format!("cannot listen on {addr} for other agents; check the settings")
+    })?;
     let (closing, closed) = watch::channel(false);
-    let handler = move |req| exchange.clone().answer(req);
+    let handler = move |req| server.clone().handle(req);
     let serving = spawn_local(listener.serve(ServeOptions::default, handler, closed));
     let agent = Rc::new(Agent::<S, D, H, O>::new(
         settings,
@@ -116,9 +118,9 @@
         Rc::new(OperatorFollower::<D, _>::on_demand(agent.clone())),
     ));
     spawn_local(agent.clone().poll_endpoint());
-    let socket = UdpSocket::bind(addr)
-        .await
-        .wrap_err_with(|| format!("cannot bind {addr} to tell entries; check the settings"))?;
+    let socket = UdpSocket::bind(addr).await.wrap_err_with(|| {
+        format!("cannot bind UDP {addr} to notify entries; check the settings")
+    })?;
     spawn_local(agent.clone().notify_entries(socket));
     spawn_local(agent.clone().refresh_peers());
     let main = spawn_local(async move {
@@ -131,19 +133,19 @@
     loop {
         tokio::select! {
             _ = term.recv() => break,
-            // Everything that an agent is told holds for the life of its host.
+            // The settings of an agent do not change while its host runs.
             _ = hangup.recv() => emit!(log_event::COPY, "state=reloaded changed=nothing"),
         }
     }
     emit!(log_event::COPY, "state=stopping");
     main.abort();
     closing.send_replace(true);
-    // The other hosts fetch elsewhere what is not sent in time.
+    // Other hosts fetch from another source what is not sent in time.
     let _ = tokio::time::timeout(DRAIN_TIMEOUT.duration(), serving).await;
     Ok(())
 }
 
-/// Takes the operator's intents in an agent.
+/// Applies the operator's records in an agent.
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> OperatorSink for Rc<Agent<S, D, H, O>> {
     fn catalog(&self, catalog: Catalog, _: Bytes) {
         self.set_catalog(&catalog);
@@ -163,7 +165,7 @@
 }
 
 impl<S: RecordStore, D: Decode, H: EndpointHost, O: Origin> Agent<S, D, H, O> {
-    /// Looks at the endpoint for ever.
+    /// Polls the endpoint's report without end.
     async fn poll_endpoint(self: Rc<Self>) {
         loop {
             self.poll_report().await;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Reads the list of hosts while a copy is in progress.
+    /// Keeps the list of hosts up to date while a copy is in progress.
     async fn refresh_peers(self: Rc<Self>) {
         loop {
             tokio::time::sleep(PEERS_INTERVAL.duration()).await;
--- a/tests/staging_copy.rs
+++ b/tests/staging_copy.rs
@@ -1,4 +1,4 @@
-//! Agents that copy, check and load weights, with endpoints and an origin in memory.
+//! Agents that copy, check and load weights, tested with endpoints and an origin in memory.
 
 mod gateway_support;
 
@@ -24,14 +24,17 @@
 use sha2::{Digest as _, Sha256};
 
 const CHUNKS: u32 = 24;
+/// Size of a chunk in bytes.
 const CHUNK: usize = 8 << 10;
+/// Port at which agents serve each other.
 const PORT: u16 = 7000;
 
+/// Returns the content of a chunk of a version.
 fn content(version: u64, chunk: u32) -> Bytes {
     Bytes::from(vec![(version * 31 + u64::from(chunk)) as u8; CHUNK])
 }
 
-/// An endpoint in memory.
+/// Endpoint in memory.
 #[derive(Clone, Default)]
 struct Engine(Rc<EngineState>);
 
@@ -39,18 +42,18 @@
 struct EngineState {
     staged: RefCell<HashMap<u32, Bytes>>,
     loaded: Cell<u64>,
-    /// Chunk that turns bad once, after it was staged.
-    rots: Cell<Option<u32>>,
-    /// Whether it does not answer.
+    /// Chunk whose content is corrupted once, when it is staged.
+    corrupts: Cell<Option<u32>>,
+    /// Whether the endpoint does not respond.
     down: Cell<bool>,
-    /// Loads of incomplete, spoilt or mixed chunks.
+    /// Number of loads of incomplete, corrupt or mixed chunks.
     bad_loads: Cell<u32>,
 }
 
 impl Engine {
-    fn answers(&self) -> Result<(), HostError> {
+    fn check_up(&self) -> Result<(), HostError> {
         if self.0.down.get() {
-            return Err(HostError::Lost("it is down".to_owned()));
+            return Err(HostError::Lost("the endpoint is down".to_owned()));
         }
         Ok(())
     }
@@ -58,7 +61,7 @@
 
 impl EndpointHost for Engine {
     async fn report(&self) -> Result<HostReport, HostError> {
-        self.answers()?;
+        self.check_up()?;
         let models = match self.0.loaded.get() {
             0 => Vec::new(),
             v => vec![(Rc::from("m"), WeightVersion(v))],
@@ -71,7 +74,7 @@
     }
 
     async fn staged(&self, _: &str) -> Result<Vec<u32>, HostError> {
-        self.answers()?;
+        self.check_up()?;
         Ok(self.0.staged.borrow().keys().copied().collect())
     }
 
@@ -80,10 +83,10 @@
     }
 
     async fn stage(&self, _: &str, chunk: u32, data: Bytes) -> Result<(), HostError> {
-        self.answers()?;
-        let rots = self.0.rots.get() == Some(chunk);
-        let data = if rots {
-            self.0.rots.set(None);
+        self.check_up()?;
+        let corrupts = self.0.corrupts.get() == Some(chunk);
+        let data = if corrupts {
+            self.0.corrupts.set(None);
             Bytes::from(vec![0; CHUNK])
         } else {
             data
@@ -93,7 +96,7 @@
     }
 
     async fn load(&self, _: &str, version: WeightVersion) -> Result<LoadResponse, HostError> {
-        self.answers()?;
+        self.check_up()?;
         let staged = self.0.staged.borrow();
         let good = (0..CHUNKS).all(|c| staged.get(&c) == Some(&content(version.0, c)));
         if !good {
@@ -104,38 +107,39 @@
     }
 }
 
-/// An origin in memory; counts what it sends and spoils the first chunk.
+/// Origin in memory; counts what it sends and corrupts the first chunk.
 #[derive(Clone, Default)]
-struct Store(Rc<Sent>);
+struct MemoryOrigin(Rc<OriginState>);
 
 #[derive(Default)]
-struct Sent {
+struct OriginState {
+    /// Number of chunks sent.
     chunks: Cell<u32>,
-    /// Manifests of named versions.
+    /// Number of manifests sent in response to requests for a given version.
     manifests: Cell<u32>,
-    /// Whether the next manifest of a named version is spoilt.
+    /// Whether the next manifest that is requested by version has a wrong digest.
     wrong: Cell<bool>,
-    /// Whether it does not answer.
+    /// Whether requests for chunks fail.
     gone: Cell<bool>,
-    /// Version whose manifest cannot be had.
+    /// Version whose manifest is not available.
     hidden: Cell<u64>,
 }
 
-impl Origin for Store {
+impl Origin for MemoryOrigin {
     async fn manifest(
         &self,
         _: SocketAddr,
         _: &str,
         version: Option<WeightVersion>,
     ) -> Result<Manifest, HostError> {
-        let named = version.is_some();
+        let by_version = version.is_some();
         let version = version.unwrap_or(WeightVersion(1));
         let digest = |c| Digest(Sha256::digest(content(version.0, c)).into());
         let mut digests: Vec<_> = (0..CHUNKS).map(digest).collect();
         if version.0 == self.0.hidden.get() {
-            return Err(HostError::Lost("it is gone".to_owned()));
+            return Err(HostError::Lost("the origin is gone".to_owned()));
         }
-        if named {
+        if by_version {
             self.0.manifests.set(self.0.manifests.get() + 1);
             if self.0.wrong.take() {
                 digests[5] = Digest([0; 32]);
@@ -157,7 +161,7 @@
     ) -> Result<Bytes, HostError> {
         tokio::time::sleep(Millis(4).duration()).await;
         if self.0.gone.get() {
-            return Err(HostError::Lost("it is gone".to_owned()));
+            return Err(HostError::Lost("the origin is gone".to_owned()));
         }
         let sent = self.0.chunks.get() + 1;
         self.0.chunks.set(sent);
@@ -194,7 +198,7 @@
     out
 }
 
-/// Bound on old versions.
+/// Age of a desired version from which it is enforced.
 const BOUND: Millis = Millis(2000);
 
 fn settings(n: u8, bound: Millis) -> AgentSettings {
@@ -212,16 +216,21 @@
     }
 }
 
-/// Runs agents with their endpoints until `done`, at most 10 s. The next version is named when the origin has sent a
-/// copy of the one before.
-fn with_agents(engines: &[Engine], origin: &Store, versions: &[u64], done: impl Fn() -> bool) {
+/// Runs agents with their endpoints until `done`, at most 10 s. Each version becomes desired when the origin has sent
+/// as many chunks as the versions before it have.
+fn with_agents(
+    engines: &[Engine],
+    origin: &MemoryOrigin,
+    versions: &[u64],
+    done: impl Fn() -> bool,
+) {
     with_bound(BOUND, engines, origin, versions, done);
 }
 
 fn with_bound(
     bound: Millis,
     engines: &[Engine],
-    origin: &Store,
+    origin: &MemoryOrigin,
     versions: &[u64],
     done: impl Fn() -> bool,
 ) {
@@ -260,12 +269,12 @@
     assert!(done(), "not done within 10 s");
 }
 
-/// Guards against hosts that each copy from the origin, and against chunks that are loaded unchecked.
+/// Guards against hosts that all copy from the origin, and against loading chunks whose digests were not checked.
 #[test]
 fn one_copy_serves_all_hosts() {
     let engines: Vec<Engine> = (0..5).map(|_| Engine::default()).collect();
-    engines[2].0.rots.set(Some(3));
-    let origin = Store::default();
+    engines[2].0.corrupts.set(Some(3));
+    let origin = MemoryOrigin::default();
     let loaded = || engines.iter().all(|e| e.0.loaded.get() == 1);
     with_agents(&engines, &origin, &[], loaded);
     assert!(engines.iter().all(|e| e.0.bad_loads.get() == 0));
@@ -273,23 +282,24 @@
     assert!(sent <= CHUNKS * 3 / 2, "{sent} of {CHUNKS} chunks");
 }
 
-/// Guards against a host that loads a version that is no longer the newest, or never gets to the newest.
+/// Guards against a host that never loads the newest version while several become desired in succession.
 #[test]
 fn newest_version_is_loaded() {
     let engines: Vec<Engine> = (0..3).map(|_| Engine::default()).collect();
-    let origin = Store::default();
+    let origin = MemoryOrigin::default();
     let loaded = || engines.iter().all(|e| e.0.loaded.get() == 3);
     with_agents(&engines, &origin, &[2, 3], loaded);
     assert!(engines.iter().all(|e| e.0.bad_loads.get() == 0));
 }
 
-/// Guards against a copy that is given up for a newer version of which nothing can be had, because the origin went away.
+/// Guards against giving up a copy for a newer version whose manifest is not available because the origin is
+/// unreachable.
 #[test]
-fn older_copy_goes_on_without_origin() {
+fn older_copy_continues_without_origin() {
     let engines: Vec<Engine> = (0..3).map(|_| Engine::default()).collect();
     engines.iter().for_each(|e| e.0.loaded.set(1));
-    let origin = Store::default();
-    // The newer version is named after a quarter of the copy.
+    let origin = MemoryOrigin::default();
+    // The newer version becomes desired after a quarter of the copy.
     origin.0.chunks.set(CHUNKS * 3 / 4);
     origin.0.hidden.set(3);
     let loaded = || engines.iter().all(|e| e.0.loaded.get() == 2);
@@ -297,40 +307,41 @@
     assert!(engines.iter().all(|e| e.0.bad_loads.get() == 0));
 }
 
-/// Guards against an origin that all hosts ask for the manifest at the same time.
+/// Guards against all hosts requesting the manifest from the origin at the same time.
 #[test]
-fn few_hosts_ask_origin() {
+fn few_hosts_query_origin() {
     let engines: Vec<Engine> = (0..5).map(|_| Engine::default()).collect();
-    let origin = Store::default();
+    let origin = MemoryOrigin::default();
     let loaded = || engines.iter().all(|e| e.0.loaded.get() == 2);
     with_agents(&engines, &origin, &[2], loaded);
     let manifests = origin.0.manifests.get();
     assert!(manifests <= 2, "{manifests} manifests");
 }
 
-/// Guards against hosts that wait for ever for a chunk whose digest was spoilt on the way.
+/// Guards against hosts that wait without end for a chunk because its digest in the manifest was corrupted in transit.
 #[test]
 fn wrong_manifest_is_replaced() {
     let engines: Vec<Engine> = (0..3).map(|_| Engine::default()).collect();
-    let origin = Store::default();
+    let origin = MemoryOrigin::default();
     origin.0.wrong.set(true);
     let loaded = || engines.iter().all(|e| e.0.loaded.get() == 2);
     with_agents(&engines, &origin, &[2], loaded);
     assert!(engines.iter().all(|e| e.0.bad_loads.get() == 0));
 }
 
-/// Guards against a host that starts to copy only when its endpoint is up, a second after the agent.
+/// Guards against a host that starts to copy only when its endpoint responds, which may be a second after the agent
+/// starts.
 #[test]
-fn copy_begins_before_endpoint() {
+fn copy_begins_before_endpoint_responds() {
     let engines: Vec<Engine> = (0..3).map(|_| Engine::default()).collect();
-    let origin = Store::default();
+    let origin = MemoryOrigin::default();
     engines[1].0.down.set(true);
-    let looks = Cell::new(0);
+    let polls = Cell::new(0);
     let done = || {
         let others = engines[0].0.loaded.get() == 2 && engines[2].0.loaded.get() == 2;
-        looks.set(looks.get() + u32::from(others));
-        if looks.get() == 25 {
-            // Nothing can be fetched any more when the endpoint comes up.
+        polls.set(polls.get() + u32::from(others));
+        if polls.get() == 25 {
+            // When the endpoint starts to respond, no chunk can be fetched from any source.
             origin.0.gone.set(true);
             engines[0].0.down.set(true);
             engines[2].0.down.set(true);
@@ -342,14 +353,14 @@
     assert!(engines.iter().all(|e| e.0.bad_loads.get() == 0));
 }
 
-/// Guards against an agent that starts anew, takes a version that was named long ago for a new one, and lets its
-/// endpoint stand idle until a turn that is over.
+/// Guards against a restarted agent that treats a version that became desired long ago as new and schedules another load
+/// start, although the host's load start has passed, while its endpoint gets no requests.
 #[test]
-fn found_version_is_loaded_at_once() {
+fn version_desired_before_start_loads_at_once() {
     let engines: Vec<Engine> = (0..3).map(|_| Engine::default()).collect();
     engines.iter().for_each(|e| e.0.loaded.set(1));
-    let origin = Store::default();
+    let origin = MemoryOrigin::default();
     let loaded = || engines.iter().all(|e| e.0.loaded.get() == 2);
-    // The first turn would come after the time of the test.
+    // The first scheduled load start would come after the end of the test.
     with_bound(Millis(40_000), &engines, &origin, &[2], loaded);
 }
