--- a/src/staging/entries.rs
+++ b/src/staging/entries.rs
@@ -110,10 +110,10 @@
         }
     };
     let values = records.iter().filter_map(|r| r.value.as_ref());
-    let mut beats: Vec<Heartbeat> = values
+    let mut heartbeats: Vec<Heartbeat> = values
         .filter_map(|v| postcard::from_bytes(v).ok())
         .collect();
-    fastrand::shuffle(&mut beats);
-    beats.sort_by_key(|b| b.zone.as_str() == zone);
-    beats.into_iter().map(|b| b.peer).collect()
+    fastrand::shuffle(&mut heartbeats);
+    heartbeats.sort_by_key(|b| b.zone.as_str() == zone);
+    heartbeats.into_iter().map(|b| b.peer).collect()
 }
--- a/src/staging/load.rs
+++ b/src/staging/load.rs
@@ -140,24 +140,24 @@
     /// Waits for the scheduled load start of this host.
     async fn wait_for_start(&self, model: &str, manifest: &Manifest) {
         let (rank, hosts) = self.peers.borrow().load_rank(manifest.version);
-        let rollout = Rollout {
+        let schedule = Rollout {
             bound: self.settings.bound,
             rank,
             hosts,
         };
-        let outdated = self.loaded().and_then(|loaded| {
+        let superseded_at = self.loaded().and_then(|loaded| {
             let desired = self.desired.borrow();
             desired.get(model)?.superseded_at(loaded)
         });
         let now = self.now();
-        let turn = outdated.map_or(now, |at| rollout.start_from(at, now));
-        let turn = self
+        let start = superseded_at.map_or(now, |at| schedule.start_from(at, now));
+        let start = self
             .loader
             .scheduled
             .get()
-            .map_or(turn, |before| before.min(turn));
-        self.loader.scheduled.set(Some(turn));
-        let wait = turn - now;
+            .map_or(start, |earlier| earlier.min(start));
+        self.loader.scheduled.set(Some(start));
+        let wait = start - now;
         emit!(
             log_event::LOAD,
             "model={model} version={} state=waiting rank={rank} hosts={hosts} ms={}",
