--- a/src/gateway/endpoint_table.rs
+++ b/src/gateway/endpoint_table.rs
@@ -369,7 +369,7 @@
         matches.filter(|id| self.mark_leaving(id, now)).collect()
     }
 
-    /// Returns the endpoints that announced within [`LEAVING_GOSSIP`] that they are leaving.
+    /// Returns the endpoints that announced within `LEAVING_GOSSIP` that they are leaving.
     pub fn leaving(&self, now: Millis) -> Vec<EndpointHash> {
         let recent = self
             .announced
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -232,7 +232,7 @@
     }
 
     /// Returns the heartbeats for the next datagram: a new one of this entry, then the most recently received ones of
-    /// others. Also removes entries without a heartbeat for [`RETENTION`].
+    /// others. Also removes entries without a heartbeat for `RETENTION`.
     pub fn next_heartbeats(&mut self, status: Status, now: Millis) -> Vec<Heartbeat> {
         self.me.count += 1;
         self.me.status = status;
@@ -309,7 +309,7 @@
     }
 
     /// Returns the entries that an agent of a zone notifies of its endpoint: those that read the store, which pass it
-    /// on. While none does, for example during an outage of the store, up to [`NOTIFY_MAX`] live entries.
+    /// on. While none does, for example during an outage of the store, up to `NOTIFY_MAX` live entries.
     pub fn notify_targets(&self, zone: &str, now: Millis) -> Vec<SocketAddr> {
         let readers = self.readers(now);
         if readers.is_empty() {
@@ -377,7 +377,7 @@
         ready.map(entry).collect()
     }
 
-    /// Returns up to `max` addresses for a caller of `zone`: entries of the zone if at least [`NEAR_MIN`] are ready,
+    /// Returns up to `max` addresses for a caller of `zone`: entries of the zone if at least `NEAR_MIN` are ready,
     /// else of all zones; in random order.
     pub fn addresses(&self, zone: &str, max: usize, now: Millis) -> Vec<SocketAddr> {
         let others = self.others.values().filter(|m| m.is_live(now));
