--- a/src/decide/chunk/config.rs
+++ b/src/decide/chunk/config.rs
@@ -42,7 +42,7 @@
     pub backoff_max: Millis,
 }
 
-/// Shortest stall time-out; longer than the replacement of a lost connection, which takes about one second.
+/// Shortest stall timeout; longer than the replacement of a lost connection, which takes about one second.
 const STALL_TIMEOUT_MIN: Millis = Millis(2000);
 
 /// Longest backoff after failed requests to the origin.
--- a/src/decide/chunk/scheduler.rs
+++ b/src/decide/chunk/scheduler.rs
@@ -473,7 +473,7 @@
             .map(|p| Source::Peer(p.id))
     }
 
-    /// Chooses a second source for a chunk whose fetch exceeds the stall time-out, when nothing else can be fetched.
+    /// Chooses a second source for a chunk whose fetch exceeds the stall timeout, when nothing else can be fetched.
     fn poll_stalled(&mut self, now: Millis, wake: &mut Millis) -> Option<(u32, Source)> {
         if self.flights.len() >= self.config.all_requests {
             return None;
--- a/src/gateway/compression.rs
+++ b/src/gateway/compression.rs
@@ -32,7 +32,7 @@
     let mut limited = ZlibDecoder::new(data).take(UNCOMPRESSED_MAX);
     limited.read_to_end(&mut out)?;
     if limited.limit() == 0 {
-        return Err(io::Error::other("the catalog is larger than 16 MiB"));
+        return Err(io::Error::other("the catalog has 16 MiB or more"));
     }
     Ok(out.into())
 }
--- a/src/gateway/load_balancer.rs
+++ b/src/gateway/load_balancer.rs
@@ -11,7 +11,7 @@
 //! | an endpoint rejects requests | skipped for a short backoff that doubles |
 //! | an endpoint sends `Retry-After` | paused until then, whatever else is reported of it |
 //! | an endpoint fails part of its requests | its cost grows, so that it is used only when the others are loaded |
-//! | an endpoint is lost | its circuit breaker available_at |
+//! | an endpoint is lost | its circuit breaker opens |
 
 use std::net::SocketAddr;
 
--- a/tests/chunk_schedule/main.rs
+++ b/tests/chunk_schedule/main.rs
@@ -209,7 +209,7 @@
     assert_eq!(node.poll(Millis(0)), Action::Fetch(0, from));
     node.handle(Millis(10), Event::Has(peers[1], vec![0]));
     let Action::Wait(at) = node.poll(Millis(10)) else {
-        panic!("the chunk was requested from a second source before the stall time-out");
+        panic!("the chunk was requested from a second source before the stall timeout");
     };
     assert_eq!(node.poll(at), Action::Fetch(0, other));
     node.handle(at, Event::Arrived(0, other));
